--- a/src/adapter/auth/fleet_authenticator.cpp
+++ b/src/adapter/auth/fleet_authenticator.cpp
@@ -75,7 +75,7 @@
 {
     const FleetKey &key = keys.keys.front();
     const std::string time = std::to_string(now.time_since_epoch().count());
-    const std::string nonce = std::to_string(drawNonce());
+    const std::string nonce = std::to_string(randomNonce());
     const std::string mac = toHex(computeMac(key, makeSignedText(call, time, nonce)));
     return std::string(Scheme) + " " + key.id + " " + time + " " + nonce + " " + mac;
 }
--- a/src/adapter/auth/fleet_key.cpp
+++ b/src/adapter/auth/fleet_key.cpp
@@ -53,7 +53,7 @@
     return one.size() == other.size() && CRYPTO_memcmp(one.data(), other.data(), one.size()) == 0;
 }
 
-std::string drawBytes(size_t count)
+std::string randomBytes(size_t count)
 {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(count)) != 1) {
@@ -63,10 +63,10 @@
     return bytes;
 }
 
-uint64_t drawNonce()
+uint64_t randomNonce()
 {
     uint64_t nonce = 0;
-    const std::string bytes = drawBytes(sizeof(nonce));
+    const std::string bytes = randomBytes(sizeof(nonce));
     std::memcpy(&nonce, bytes.data(), sizeof(nonce));
     return nonce;
 }
--- a/src/adapter/auth/fleet_key.h
+++ b/src/adapter/auth/fleet_key.h
@@ -38,10 +38,10 @@
 bool equalInConstantTime(std::string_view one, std::string_view other);
 
 /** @return @p count bytes from the system's generator, fit for keys and nonces. */
-std::string drawBytes(size_t count);
+std::string randomBytes(size_t count);
 
 /** @return 64 random bits. */
-uint64_t drawNonce();
+uint64_t randomNonce();
 
 std::string toHex(std::string_view bytes);
 
--- a/src/adapter/auth/peer_hello.cpp
+++ b/src/adapter/auth/peer_hello.cpp
@@ -58,7 +58,7 @@
         counters_.count(AuthRefusal::UnknownKey);
         return reply.SerializeAsString();
     }
-    reply.set_nonce(drawBytes(NonceBytes));
+    reply.set_nonce(randomBytes(NonceBytes));
     nonces_ = request.nonce() + reply.nonce();
     reply.set_mac(computeProof(*key_, ListenerRole, nonces_));
     return reply.SerializeAsString();
@@ -83,7 +83,7 @@
 
 std::string HelloCaller::makeHello()
 {
-    nonce_ = drawBytes(NonceBytes);
+    nonce_ = randomBytes(NonceBytes);
     v1::HelloRequest request;
     request.set_key_id(key_.id);
     request.set_nonce(nonce_);
--- a/src/adapter/clock/asio_wake_timers.cpp
+++ b/src/adapter/clock/asio_wake_timer_factory.cpp
@@ -1,6 +1,6 @@
-/** @file asio_wake_timers.cpp The port of waits over Boost.Asio's timers. */
+/** @file asio_wake_timer_factory.cpp The port of waits over Boost.Asio's timers. */
 
-#include "adapter/clock/asio_wake_timers.h"
+#include "adapter/clock/asio_wake_timer_factory.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::unique_ptr<WakeTimer> AsioWakeTimers::make()
+std::unique_ptr<WakeTimer> AsioWakeTimerFactory::make()
 {
     return std::make_unique<AsioWakeTimer>(context_);
 }
--- a/src/adapter/clock/asio_wake_timers.h
+++ b/src/adapter/clock/asio_wake_timer_factory.h
@@ -1,4 +1,4 @@
-/** @file asio_wake_timers.h The port of waits over Boost.Asio's timers. */
+/** @file asio_wake_timer_factory.h The port of waits over Boost.Asio's timers. */
 
 #pragma once
 
@@ -9,10 +9,10 @@
 namespace wisteriahoist {
 
 /** Timers that run on the event loop of the duty that waits. */
-class AsioWakeTimers final : public WakeTimers
+class AsioWakeTimerFactory final : public WakeTimerFactory
 {
 public:
-    explicit AsioWakeTimers(boost::asio::io_context &context) : context_(context) { }
+    explicit AsioWakeTimerFactory(boost::asio::io_context &context) : context_(context) { }
 
     std::unique_ptr<WakeTimer> make() override;
 
--- a/src/adapter/clock/pause_func.cpp
+++ b/src/adapter/clock/sleep_func.cpp
@@ -1,6 +1,6 @@
-/** @file pause_func.cpp A coroutine's wait for a time. */
+/** @file sleep_func.cpp A coroutine's wait for a time. */
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 
 #include <boost/asio/redirect_error.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -11,7 +11,7 @@
 
 namespace asio = boost::asio;
 
-asio::awaitable<void> pauseFor(milliseconds duration)
+asio::awaitable<void> sleepFor(milliseconds duration)
 {
     asio::steady_timer timer(co_await asio::this_coro::executor, duration);
     boost::system::error_code ignored;
--- a/src/adapter/clock/pause_func.h
+++ b/src/adapter/clock/sleep_func.h
@@ -1,4 +1,4 @@
-/** @file pause_func.h A coroutine's wait for a time. */
+/** @file sleep_func.h A coroutine's wait for a time. */
 
 #pragma once
 
@@ -9,6 +9,6 @@
 namespace wisteriahoist {
 
 /** Waits for @p duration on the executor of the coroutine that awaits it. */
-boost::asio::awaitable<void> pauseFor(milliseconds duration);
+boost::asio::awaitable<void> sleepFor(milliseconds duration);
 
 } // namespace wisteriahoist
--- a/src/adapter/codec/declaration_codec.cpp
+++ b/src/adapter/codec/declaration_codec.cpp
@@ -65,7 +65,7 @@
                                    ? v1::REPETITION_IDEMPOTENT
                                    : v1::REPETITION_MUST_NOT_REPEAT);
     message.set_deadline_ms(static_cast<uint32_t>(rule.deadline.count()));
-    message.set_patience_ms(static_cast<uint32_t>(rule.patience.count()));
+    message.set_patience_ms(static_cast<uint32_t>(rule.queueTimeout.count()));
     message.set_single_attempt(rule.missingKey == MissingKey::SingleAttempt);
     message.set_assume_first_sending(rule.missingAge == MissingAge::FirstSending);
 }
@@ -79,7 +79,7 @@
     rule.repetition = message.repetition() == v1::REPETITION_IDEMPOTENT ? Repetition::Idempotent
                                                                         : Repetition::MustNotRepeat;
     rule.deadline = milliseconds(message.deadline_ms());
-    rule.patience = milliseconds(message.patience_ms());
+    rule.queueTimeout = milliseconds(message.patience_ms());
     rule.missingKey = message.single_attempt() ? MissingKey::SingleAttempt : MissingKey::Refuse;
     rule.missingAge
             = message.assume_first_sending() ? MissingAge::FirstSending : MissingAge::Refuse;
--- a/src/adapter/codec/record_codec.cpp
+++ b/src/adapter/codec/record_codec.cpp
@@ -137,7 +137,7 @@
     record.service = message.service();
     record.block = message.block();
     record.layout.count = std::max<uint32_t>(1, message.blocks());
-    if (!isLayoutCount(record.layout.count) || record.block >= record.layout.count) {
+    if (!isValidBlockCount(record.layout.count) || record.block >= record.layout.count) {
         return Failure{FailureCode::Malformed, "no such block of keys"};
     }
     const KeySpan span = record.isBlock() ? record.layout.spanOf(record.block) : KeySpan{};
--- a/src/adapter/http/header_rules.cpp
+++ b/src/adapter/http/header_rules.cpp
@@ -28,7 +28,7 @@
 
 } // namespace
 
-std::vector<PassedField> passedFields(const http::fields &fields)
+std::vector<ForwardedField> forwardableFields(const http::fields &fields)
 {
     std::vector<std::string> listed;
     const auto connections = fields.equal_range(http::field::connection);
@@ -37,7 +37,7 @@
             listed.emplace_back(token);
         }
     }
-    std::vector<PassedField> passed;
+    std::vector<ForwardedField> passed;
     for (const auto &field : fields) {
         const auto isSame = [&field](const std::string &name) {
             return beast::iequals(name, field.name_string());
--- a/src/adapter/http/header_rules.h
+++ b/src/adapter/http/header_rules.h
@@ -10,7 +10,7 @@
 namespace wisteriahoist {
 
 /** One header field on its way between connections. */
-struct PassedField {
+struct ForwardedField {
     std::string name;
     std::string value;
 };
@@ -20,7 +20,7 @@
  *         hop-by-hop fields, those that Connection lists, Content-Length, Expect, and the fields
  *         that only this system sets (a caller could forge an epoch with them).
  */
-std::vector<PassedField> passedFields(const http::fields &fields);
+std::vector<ForwardedField> forwardableFields(const http::fields &fields);
 
 /** @return Whether the framing of @p fields is refused: two lengths, or an unknown coding. */
 bool hasAmbiguousFraming(const http::fields &fields);
--- a/src/adapter/http/http_client.cpp
+++ b/src/adapter/http/http_client.cpp
@@ -124,7 +124,7 @@
                                                                    : std::chrono::milliseconds(0));
 }
 
-asio::awaitable<void> HttpClient::warm(size_t count)
+asio::awaitable<void> HttpClient::preconnect(size_t count)
 {
     constexpr milliseconds ConnectTimeout{1000};
     ExchangeControl control;
@@ -171,18 +171,18 @@
     request.prepare_payload();
     connection->expires_at(deadline);
     beast::error_code error;
-    control->stage_ = RequestStage::HalfSent;
+    control->stage_ = RequestStage::PartlySent;
     const size_t sent = co_await http::async_write(
             *connection, request, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
         control->stream_ = nullptr;
         // Not one byte was taken by the operating system: the other side cannot have acted.
         const bool nothingSent = sent == 0;
-        control->stage_ = nothingSent ? RequestStage::Received : RequestStage::HalfSent;
+        control->stage_ = nothingSent ? RequestStage::Received : RequestStage::PartlySent;
         co_return Failure{nothingSent ? FailureCode::Unavailable : FailureCode::Ambiguous,
                           "write: " + error.message()};
     }
-    control->stage_ = RequestStage::HandedOver;
+    control->stage_ = RequestStage::Sent;
     const bool headOnly = request.method() == http::verb::head;
     Result<HttpResponse> answer = co_await read(*connection, headOnly, *control);
     control->stream_ = nullptr;
@@ -208,7 +208,7 @@
         co_await http::async_read(stream, buffer, parser,
                                   asio::redirect_error(asio::use_awaitable, error));
         if (parser.got_some()) {
-            control.stage_ = RequestStage::HalfAnswered;
+            control.stage_ = RequestStage::PartlyAnswered;
         }
         if (error == beast::error::timeout) {
             co_return Failure{FailureCode::DeadlineExceeded, "no whole answer in time"};
--- a/src/adapter/http/http_client.h
+++ b/src/adapter/http/http_client.h
@@ -40,7 +40,7 @@
     void sendOnlyIf(std::function<bool()> isInTime) { isInTime_ = std::move(isInTime); }
 
     /** Answers for which @p belongs is false are dropped, and the next one is waited for. */
-    void expect(std::function<bool(const HttpResponse &)> belongs)
+    void setResponseFilter(std::function<bool(const HttpResponse &)> belongs)
     {
         belongs_ = std::move(belongs);
     }
@@ -90,7 +90,7 @@
                                                    std::shared_ptr<ExchangeControl> control = {});
 
     /** Opens connections ahead of need until @p count are idle. */
-    asio::awaitable<void> warm(size_t count);
+    asio::awaitable<void> preconnect(size_t count);
 
     uint64_t connectionsOpened() const { return connectionsOpened_; }
     size_t idleConnections() const { return idle_.size(); }
--- a/src/adapter/http/http_connection.cpp
+++ b/src/adapter/http/http_connection.cpp
@@ -340,7 +340,7 @@
     readNoMore();
     const std::deque<ExchangePtr> due = due_;
     for (const ExchangePtr &exchange : due) {
-        exchange->caller->markGone();
+        exchange->caller->markDisconnected();
     }
     // Answers that are due are written all the same: a caller may have closed only its own side.
     if (due_.empty() || shutDown_) {
@@ -364,7 +364,7 @@
     closed_ = true;
     size_t open = counted_ ? 1 : 0;
     for (const ExchangePtr &exchange : due_) {
-        exchange->caller->markGone();
+        exchange->caller->markDisconnected();
         open += exchange->isInterim ? 0 : 1;
     }
     counted_ = false;
--- a/src/adapter/http/http_connection.h
+++ b/src/adapter/http/http_connection.h
@@ -19,7 +19,7 @@
 /** What a server and its connections share. Used by one thread, but for openRequests. */
 struct HttpServerState {
     HttpLimits limits;
-    WatchedHttpHandler handler;
+    CancellableHttpHandler handler;
     std::atomic<size_t> openRequests{0};
     std::set<HttpConnection *> connections; ///< Invariant: at most limits.connections.
     bool stopping = false;                  ///< Nothing is accepted any more.
@@ -53,7 +53,7 @@
 
     /** One request whose answer is due. */
     struct Exchange {
-        std::shared_ptr<CallerWatch> caller = std::make_shared<CallerWatch>();
+        std::shared_ptr<DisconnectSignal> caller = std::make_shared<DisconnectSignal>();
         std::optional<HttpResponse> response;
         bool headOnly = false;
         bool keepAlive = true;
--- a/src/adapter/http/http_server.cpp
+++ b/src/adapter/http/http_server.cpp
@@ -11,15 +11,16 @@
 
 HttpServer::HttpServer(asio::io_context &context, const std::string &ip, uint16_t port,
                        HttpLimits limits, HttpHandler handler)
-    : HttpServer(context, ip, port, limits,
-                 WatchedHttpHandler([handler = std::move(handler)](HttpRequest request,
-                                                                   std::shared_ptr<CallerWatch>) {
-                     return handler(std::move(request));
-                 }))
+    : HttpServer(
+            context, ip, port, limits,
+            CancellableHttpHandler([handler = std::move(handler)](
+                                           HttpRequest request, std::shared_ptr<DisconnectSignal>) {
+                return handler(std::move(request));
+            }))
 { }
 
 HttpServer::HttpServer(asio::io_context &context, const std::string &ip, uint16_t port,
-                       HttpLimits limits, WatchedHttpHandler handler)
+                       HttpLimits limits, CancellableHttpHandler handler)
     : acceptor_(context, tcp::endpoint(asio::ip::make_address(ip), port)),
       state_(std::make_shared<HttpServerState>())
 {
--- a/src/adapter/http/http_server.h
+++ b/src/adapter/http/http_server.h
@@ -24,7 +24,7 @@
     HttpServer(asio::io_context &context, const std::string &ip, uint16_t port, HttpLimits limits,
                HttpHandler handler);
     HttpServer(asio::io_context &context, const std::string &ip, uint16_t port, HttpLimits limits,
-               WatchedHttpHandler handler);
+               CancellableHttpHandler handler);
 
     /** Starts accepting. @pre The object is owned by a shared_ptr. */
     void start();
@@ -34,7 +34,7 @@
 
     /** From now on each connection ends with the answers that are due; new ones are still accepted.
      */
-    void closeAfterAnswers() { state_->closing = true; }
+    void closeAfterResponses() { state_->closing = true; }
 
     /**
      * Stops accepting, and closes connections on which no request has begun to arrive; whoever has
--- a/src/adapter/http/http_type.h
+++ b/src/adapter/http/http_type.h
@@ -39,15 +39,15 @@
  * Tells a handler that its caller has closed the connection while it waits for the answer.
  * A caller that closes only its sending side counts as gone too: the two cannot be told apart.
  */
-class CallerWatch
+class DisconnectSignal
 {
 public:
-    bool isGone() const { return gone_; }
+    bool isDisconnected() const { return gone_; }
 
     /** Sets what to do when the caller goes; called at most once, on the server's thread. */
-    void onGone(std::function<void()> action) { action_ = std::move(action); }
+    void onDisconnect(std::function<void()> action) { action_ = std::move(action); }
 
-    void markGone()
+    void markDisconnected()
     {
         gone_ = true;
         if (action_) {
@@ -61,8 +61,8 @@
 };
 
 /** Answers one request whose caller may go away meanwhile. */
-using WatchedHttpHandler
-        = std::function<asio::awaitable<HttpResponse>(HttpRequest, std::shared_ptr<CallerWatch>)>;
+using CancellableHttpHandler = std::function<asio::awaitable<HttpResponse>(
+        HttpRequest, std::shared_ptr<DisconnectSignal>)>;
 
 /** One refusal in the words of RFC 9457. */
 struct Problem {
--- a/src/adapter/http/request_protocol.h
+++ b/src/adapter/http/request_protocol.h
@@ -13,33 +13,33 @@
 namespace wisteriahoist {
 
 /** What a caller says with its request. */
-struct RequestTerms {
+struct RequestMetadata {
     std::string attemptId;                ///< Names this attempt of this caller.
     std::optional<milliseconds> timeLeft; ///< How long the caller waits.
     std::optional<ShardKey> shardKey;
 };
 
 /** What a backend server is told with a request. */
-struct BackendTerms {
+struct BackendMetadata {
     milliseconds timeLeft{0};  ///< It stops work then.
     std::string backend;       ///< The life that is to run the request; another one refuses.
     std::string callerService; ///< Service beside which the request was made.
 };
 
 /** What a backend server's answer shows. */
-enum class AnswerKind {
-    Complete,    ///< Its own whole answer, whatever the status.
-    NotExecuted, ///< It says that it has not run the request.
-    OtherLife,   ///< Another life than the named one has the address; not run.
-    Foreign,     ///< It answers another request.
-    Unproven,    ///< A success without the mark that proves it.
+enum class ResponseKind {
+    Complete,         ///< Its own whole answer, whatever the status.
+    NotExecuted,      ///< It says that it has not run the request.
+    WrongIncarnation, ///< Another life than the named one has the address; not run.
+    WrongRequest,     ///< It answers another request.
+    Unverified,       ///< A success without the mark that proves it.
 };
 
 /**
  * @return Whether callers read @p status as a promise that the request has not run and never will.
  *         A caller that has been promised so may repeat even a request that is not idempotent.
  */
-inline bool promisesNotRun(unsigned status)
+inline bool impliesNotExecuted(unsigned status)
 {
     switch (http::int_to_status(status)) {
     case http::status::request_timeout:
@@ -59,17 +59,18 @@
     virtual ~RequestProtocol() = default;
 
     /** @return BadArgument if the terms are missing or malformed. */
-    virtual Result<RequestTerms> readTerms(const HttpRequest &request) const = 0;
+    virtual Result<RequestMetadata> readMetadata(const HttpRequest &request) const = 0;
 
     /** Sets the headers for the backend server, whatever the caller had put there. */
-    virtual void setTerms(HttpRequest &request, const BackendTerms &terms) const = 0;
+    virtual void setMetadata(HttpRequest &request, const BackendMetadata &terms) const = 0;
 
-    virtual AnswerKind judge(const HttpResponse &response, const std::string &attemptId) const = 0;
+    virtual ResponseKind classifyResponse(const HttpResponse &response,
+                                          const std::string &attemptId) const = 0;
 
     /** Tells the caller when to come back. */
     virtual void setRetryAfter(HttpResponse &response, milliseconds wait) const = 0;
 
-    /** @return The life that an OtherLife answer names; empty if none. */
+    /** @return The life that an WrongIncarnation answer names; empty if none. */
     virtual std::string namedBackend(const HttpResponse &response) const = 0;
 };
 
--- a/src/adapter/http2/peer_transport.h
+++ b/src/adapter/http2/peer_transport.h
@@ -68,7 +68,7 @@
     void closeAll();
 
     /** From now on each connection begins with a hello. */
-    void introduceWith(FleetKeys keys) { keys_ = std::move(keys); }
+    void authenticateWith(FleetKeys keys) { keys_ = std::move(keys); }
 
     /** Bounds the opening of a connection; without it, a call's own timeout does. */
     void limitConnect(milliseconds timeout) { connectTimeout_ = timeout; }
--- a/src/adapter/log/bounded_event.cpp
+++ b/src/adapter/log/rate_limited_event.cpp
@@ -1,6 +1,6 @@
-/** @file bounded_event.cpp Counts the lines of one event that a budget leaves out. */
+/** @file rate_limited_event.cpp Counts the lines of one event that a budget leaves out. */
 
-#include "adapter/log/bounded_event.h"
+#include "adapter/log/rate_limited_event.h"
 
 namespace wisteriahoist {
 
@@ -10,9 +10,9 @@
 constexpr milliseconds TellEvery{1000};
 } // namespace
 
-bool BoundedEvent::tryTake(TimePoint now)
+bool RateLimitedEvent::tryTake(TimePoint now)
 {
-    tellDropped(now);
+    logDropped(now);
     if (budget_.tryTake(now)) {
         return true;
     }
@@ -22,7 +22,7 @@
     return false;
 }
 
-void BoundedEvent::tellDropped(TimePoint now)
+void RateLimitedEvent::logDropped(TimePoint now)
 {
     if (droppingSince_ == NeverTime || now - droppingSince_ < TellEvery) {
         return;
--- a/src/adapter/log/bounded_event.h
+++ b/src/adapter/log/rate_limited_event.h
@@ -1,4 +1,5 @@
-/** @file bounded_event.h An event that may come often: so many lines a second, the rest is counted.
+/** @file rate_limited_event.h An event that may come often: so many lines a second, the rest is
+ * counted.
  */
 
 #pragma once
@@ -12,11 +13,11 @@
  * Who reads the log later must know where lines are missing, so those that were dropped are counted
  * in a line of their own, at most one a second. Used by one thread.
  */
-class BoundedEvent
+class RateLimitedEvent
 {
 public:
     /** @param perSecond Lines in the long run. @param burst Lines at once. */
-    BoundedEvent(LogEvent event, double perSecond, double burst)
+    RateLimitedEvent(LogEvent event, double perSecond, double burst)
         : event_(event), budget_(perSecond, burst)
     { }
 
@@ -26,7 +27,7 @@
     void log(LogFields fields) const { logEvent(event_, fields); }
 
     /** Logs how many lines were dropped, if the first of them was a second ago. */
-    void tellDropped(TimePoint now);
+    void logDropped(TimePoint now);
 
     uint64_t dropped() const { return budget_.dropped(); }
 
--- a/src/adapter/metrics/platform_meter.cpp
+++ b/src/adapter/metrics/metered_platform_store.cpp
@@ -1,6 +1,6 @@
-/** @file platform_meter.cpp Counts the calls to the platform. */
+/** @file metered_platform_store.cpp Counts the calls to the platform. */
 
-#include "adapter/metrics/platform_meter.h"
+#include "adapter/metrics/metered_platform_store.h"
 
 #include "adapter/log/event_log.h"
 
@@ -18,10 +18,10 @@
 } // namespace
 
 PlatformMetrics::PlatformMetrics(MetricRegistry &registry)
-    : calls(registry.addLabelled("wisteriahoist_platform_calls_total",
-                                 "Calls to the platform's object API.", "call")),
-      failures(registry.addLabelled("wisteriahoist_platform_failures_total",
-                                    "Calls to the platform that failed, by type.", "type")),
+    : calls(registry.addLabelledCounter("wisteriahoist_platform_calls_total",
+                                        "Calls to the platform's object API.", "call")),
+      failures(registry.addLabelledCounter("wisteriahoist_platform_failures_total",
+                                           "Calls to the platform that failed, by type.", "type")),
       bytesWritten(registry.addCounter("wisteriahoist_platform_written_bytes_total",
                                        "Contents of the objects written to the platform.")),
       bytesRead(registry.addCounter("wisteriahoist_platform_read_bytes_total",
@@ -32,12 +32,12 @@
     available.set(1);
 }
 
-PlatformMeter::PlatformMeter(PlatformStore &inner, PlatformMetrics &metrics)
+MeteredPlatformStore::MeteredPlatformStore(PlatformStore &inner, PlatformMetrics &metrics)
     : inner_(inner), metrics_(metrics)
 { }
 
 template <typename T>
-void PlatformMeter::account(const Result<T> &result)
+void MeteredPlatformStore::account(const Result<T> &result)
 {
     if (!result) {
         metrics_.failures.add(failureName(result.assume_error().code));
@@ -56,7 +56,7 @@
     }
 }
 
-void PlatformMeter::accountObject(const Result<VersionedObject> &result)
+void MeteredPlatformStore::accountObject(const Result<VersionedObject> &result)
 {
     account(result);
     if (result) {
@@ -64,7 +64,7 @@
     }
 }
 
-PlatformStore::Pending<VersionedObject> PlatformMeter::read(std::string name)
+PlatformStore::Pending<VersionedObject> MeteredPlatformStore::read(std::string name)
 {
     metrics_.calls.add("read");
     Result<VersionedObject> result = co_await inner_.read(std::move(name));
@@ -72,8 +72,8 @@
     co_return result;
 }
 
-PlatformStore::Pending<ObjectVersion> PlatformMeter::write(std::string name, ObjectVersion expected,
-                                                           std::string content)
+PlatformStore::Pending<ObjectVersion>
+MeteredPlatformStore::write(std::string name, ObjectVersion expected, std::string content)
 {
     metrics_.calls.add("write");
     metrics_.bytesWritten.add(content.size());
@@ -83,8 +83,8 @@
     co_return result;
 }
 
-PlatformStore::Pending<ObjectVersion> PlatformMeter::remove(std::string name,
-                                                            ObjectVersion expected)
+PlatformStore::Pending<ObjectVersion> MeteredPlatformStore::remove(std::string name,
+                                                                   ObjectVersion expected)
 {
     metrics_.calls.add("remove");
     Result<ObjectVersion> result = co_await inner_.remove(std::move(name), expected);
@@ -92,7 +92,7 @@
     co_return result;
 }
 
-PlatformStore::Pending<std::vector<std::string>> PlatformMeter::list(std::string prefix)
+PlatformStore::Pending<std::vector<std::string>> MeteredPlatformStore::list(std::string prefix)
 {
     metrics_.calls.add("list");
     Result<std::vector<std::string>> result = co_await inner_.list(std::move(prefix));
@@ -100,8 +100,8 @@
     co_return result;
 }
 
-PlatformStore::Pending<VersionedObject> PlatformMeter::watch(std::string name, ObjectVersion known,
-                                                             milliseconds wait)
+PlatformStore::Pending<VersionedObject>
+MeteredPlatformStore::watch(std::string name, ObjectVersion known, milliseconds wait)
 {
     metrics_.calls.add("watch");
     Result<VersionedObject> result = co_await inner_.watch(std::move(name), known, wait);
--- a/src/adapter/metrics/platform_meter.h
+++ b/src/adapter/metrics/metered_platform_store.h
@@ -1,4 +1,5 @@
-/** @file platform_meter.h Counts the calls to the platform, and logs when it goes and comes back.
+/** @file metered_platform_store.h Counts the calls to the platform, and logs when it goes and comes
+ * back.
  */
 
 #pragma once
@@ -20,10 +21,10 @@
 };
 
 /** Passes each call on to another store and counts it. Runs on the control duty's thread. */
-class PlatformMeter : public PlatformStore
+class MeteredPlatformStore : public PlatformStore
 {
 public:
-    PlatformMeter(PlatformStore &inner, PlatformMetrics &metrics);
+    MeteredPlatformStore(PlatformStore &inner, PlatformMetrics &metrics);
 
     Pending<VersionedObject> read(std::string name) override;
     Pending<ObjectVersion> write(std::string name, ObjectVersion expected,
--- a/src/adapter/metrics/metric_registry.cpp
+++ b/src/adapter/metrics/metric_registry.cpp
@@ -99,8 +99,9 @@
     return gauge;
 }
 
-LabelledCounter &MetricRegistry::addLabelled(const std::string &name, const std::string &help,
-                                             const std::string &label)
+LabelledCounter &MetricRegistry::addLabelledCounter(const std::string &name,
+                                                    const std::string &help,
+                                                    const std::string &label)
 {
     LabelledCounter &counter = labelled_.emplace_back();
     add({name, help, MetricKind::Counter},
--- a/src/adapter/metrics/metric_registry.h
+++ b/src/adapter/metrics/metric_registry.h
@@ -38,8 +38,8 @@
     Gauge &addGauge(const std::string &name, const std::string &help, MetricLabels labels = {});
 
     /** A counter for each value of the label @p label. */
-    LabelledCounter &addLabelled(const std::string &name, const std::string &help,
-                                 const std::string &label);
+    LabelledCounter &addLabelledCounter(const std::string &name, const std::string &help,
+                                        const std::string &label);
 
     /** Counts by upper bound, which add up over nodes. */
     Histogram &addHistogram(const std::string &name, const std::string &help);
--- a/src/adapter/settings/declaration_loader.cpp
+++ b/src/adapter/settings/declaration_loader.cpp
@@ -23,8 +23,9 @@
                               : Repetition::MustNotRepeat;
     rule.deadline = reader.duration("deadline_ms", rule.deadline, milliseconds(1), MaxDeadline);
     // The default must not be longer than a short deadline.
-    rule.patience = std::min(rule.patience, rule.deadline);
-    rule.patience = reader.duration("patience_ms", rule.patience, milliseconds(0), MaxDeadline);
+    rule.queueTimeout = std::min(rule.queueTimeout, rule.deadline);
+    rule.queueTimeout
+            = reader.duration("patience_ms", rule.queueTimeout, milliseconds(0), MaxDeadline);
     rule.missingKey = reader.choice("missing_key", {"refuse", "single-attempt"}, 0) == 1
                               ? MissingKey::SingleAttempt
                               : MissingKey::Refuse;
--- a/src/adapter/settings/declaration_writer.cpp
+++ b/src/adapter/settings/declaration_writer.cpp
@@ -60,7 +60,7 @@
     writer.boolean("keyed", route.keyed);
     writer.text("repetition", repetitionName(route.repetition));
     writer.duration("deadline_ms", route.deadline);
-    writer.duration("patience_ms", route.patience);
+    writer.duration("patience_ms", route.queueTimeout);
     writer.text("missing_key", missingKeyName(route.missingKey));
     writer.text("missing_age", missingAgeName(route.missingAge));
 }
--- a/src/adapter/settings/signals_settings.cpp
+++ b/src/adapter/settings/signals_settings.cpp
@@ -18,7 +18,7 @@
 {
     TraceSettings trace;
     const uint64_t permille = reader.number("sample_permille", 0, 0, WholePermille);
-    trace.sampleShare = static_cast<double>(permille) / static_cast<double>(WholePermille);
+    trace.sampleRatio = static_cast<double>(permille) / static_cast<double>(WholePermille);
     trace.otlpIp = reader.text("otlp_ip", "");
     trace.otlpPort = static_cast<uint16_t>(reader.number("otlp_port", 4318, 1, MaxPort));
     trace.file = reader.text("trace_file", "");
--- a/src/adapter/trace/trace_settings.h
+++ b/src/adapter/trace/trace_settings.h
@@ -9,7 +9,7 @@
 
 /** Address and file both empty: nothing is recorded, contexts are still passed on. */
 struct TraceSettings {
-    double sampleShare = 0; ///< Of the requests that come without a traceparent, from 0 to 1.
+    double sampleRatio = 0; ///< Of the requests that come without a traceparent, from 0 to 1.
     std::string otlpIp;     ///< Collector's IP number; empty: none.
     uint16_t otlpPort = 0;
     std::string file; ///< One batch a line; empty: none.
--- a/src/core/backend_life.h
+++ b/src/core/backend_incarnation.h
@@ -1,4 +1,4 @@
-/** @file backend_life.h Which life of a backend server is meant. */
+/** @file backend_incarnation.h Which life of a backend server is meant. */
 
 #pragma once
 
@@ -12,20 +12,22 @@
  * One life of a backend server, from its start to its end. It may start again under the id that it
  * had, and then holds and knows nothing of before; only the time of its start tells the two apart.
  */
-struct BackendLife {
+struct BackendIncarnation {
     std::string id;
     uint64_t born = 0; ///< Unix time of its start in milliseconds; 0: it does not tell.
 
-    BackendLife() = default;
-    BackendLife(std::string lifeId, uint64_t bornAt = 0) : id(std::move(lifeId)), born(bornAt) { }
-    BackendLife(const char *lifeId) : id(lifeId) { }
+    BackendIncarnation() = default;
+    BackendIncarnation(std::string lifeId, uint64_t bornAt = 0)
+        : id(std::move(lifeId)), born(bornAt)
+    { }
+    BackendIncarnation(const char *lifeId) : id(lifeId) { }
 
-    bool operator==(const BackendLife &) const = default;
+    bool operator==(const BackendIncarnation &) const = default;
 
     bool empty() const { return id.empty(); }
 
     /** @return Whether this life is known to have begun before @p other. */
-    bool isBefore(const BackendLife &other) const
+    bool isBefore(const BackendIncarnation &other) const
     {
         return born != 0 && other.born != 0 && born < other.born;
     }
--- a/src/decision/config/declaration_check.cpp
+++ b/src/decision/config/declaration_check.cpp
@@ -100,9 +100,9 @@
                  "found " + std::to_string(route.deadline.count()) + ", 1 to "
                          + std::to_string(MaxDeadline.count()) + " are allowed");
     // A request past its deadline is answered at once, so a longer wait could never be used.
-    checker.need(route.patience >= milliseconds(0) && route.patience <= route.deadline,
+    checker.need(route.queueTimeout >= milliseconds(0) && route.queueTimeout <= route.deadline,
                  "patience_ms",
-                 "found " + std::to_string(route.patience.count())
+                 "found " + std::to_string(route.queueTimeout.count())
                          + ", 0 to the route's deadline_ms are allowed");
 }
 
--- a/src/decision/config/declaration_diff.cpp
+++ b/src/decision/config/declaration_diff.cpp
@@ -98,7 +98,7 @@
     comparer.compare("repetition", repetitionName(before.repetition),
                      repetitionName(after.repetition));
     comparer.compare("deadline_ms", before.deadline, after.deadline);
-    comparer.compare("patience_ms", before.patience, after.patience);
+    comparer.compare("patience_ms", before.queueTimeout, after.queueTimeout);
     comparer.compare("missing_key", missingKeyName(before.missingKey),
                      missingKeyName(after.missingKey));
     comparer.compare("missing_age", missingAgeName(before.missingAge),
--- a/src/decision/config/declaration_type.h
+++ b/src/decision/config/declaration_type.h
@@ -60,8 +60,8 @@
     std::string pathPrefix = "/";
     bool keyed = true; ///< false: any instance may serve it.
     Repetition repetition = Repetition::MustNotRepeat;
-    milliseconds deadline{2000}; ///< Default, and the highest a caller may ask for.
-    milliseconds patience{500};  ///< How long it may wait in the queue.
+    milliseconds deadline{2000};    ///< Default, and the highest a caller may ask for.
+    milliseconds queueTimeout{500}; ///< How long it may wait in the queue.
     MissingKey missingKey = MissingKey::Refuse;
     MissingAge missingAge = MissingAge::Refuse;
     bool operator==(const RouteRule &) const = default;
--- a/src/decision/health/health_decision.cpp
+++ b/src/decision/health/health_decision.cpp
@@ -4,11 +4,12 @@
 
 namespace wisteriahoist {
 
-std::vector<std::string_view> findStuckDuties(const std::vector<LoopTurn> &turns, TimePoint now)
+std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &turns,
+                                               TimePoint now)
 {
     std::vector<std::string_view> stuck;
-    for (const LoopTurn &turn : turns) {
-        if (now - turn.at > LoopTurnBound) {
+    for (const LoopActivity &turn : turns) {
+        if (now - turn.at > LoopStallTimeout) {
             stuck.push_back(turn.duty);
         }
     }
--- a/src/decision/health/health_decision.h
+++ b/src/decision/health/health_decision.h
@@ -10,16 +10,17 @@
 namespace wisteriahoist {
 
 /** A duty's event loop must have turned within this time, or the process counts as stuck. */
-inline constexpr milliseconds LoopTurnBound{3000};
+inline constexpr milliseconds LoopStallTimeout{3000};
 
 /** When one duty's event loop turned last. */
-struct LoopTurn {
+struct LoopActivity {
     std::string_view duty; ///< A literal.
     TimePoint at = NeverTime;
 };
 
-/** @return The duties whose loop has not turned within LoopTurnBound; none: alive. */
-std::vector<std::string_view> findStuckDuties(const std::vector<LoopTurn> &turns, TimePoint now);
+/** @return The duties whose loop has not turned within LoopStallTimeout; none: alive. */
+std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &turns,
+                                               TimePoint now);
 
 /** What decides whether requests should be sent to a node. */
 struct ReadinessInput {
--- a/src/decision/member/backend_monitor.cpp
+++ b/src/decision/member/backend_monitor.cpp
@@ -27,7 +27,7 @@
     return "unknown";
 }
 
-void BackendMonitor::beginLife(const BackendLife &backend)
+void BackendMonitor::beginLife(const BackendIncarnation &backend)
 {
     endLife();
     backend_ = backend;
@@ -39,9 +39,9 @@
     leaving_ = isDeparting(backend);
 }
 
-bool BackendMonitor::isDeparting(const BackendLife &backend) const
+bool BackendMonitor::isDeparting(const BackendIncarnation &backend) const
 {
-    return std::any_of(departing_.begin(), departing_.end(), [&](const BackendLife &life) {
+    return std::any_of(departing_.begin(), departing_.end(), [&](const BackendIncarnation &life) {
         return life.id == backend.id && (life.born == backend.born || life.born == 0);
     });
 }
@@ -54,7 +54,8 @@
     remember(ended_, backend_);
 }
 
-void BackendMonitor::remember(std::deque<BackendLife> &lives, const BackendLife &backend) const
+void BackendMonitor::remember(std::deque<BackendIncarnation> &lives,
+                              const BackendIncarnation &backend) const
 {
     lives.push_back(backend);
     if (lives.size() > limits_.endedLives) {
@@ -62,7 +63,7 @@
     }
 }
 
-bool BackendMonitor::hasEnded(const BackendLife &backend) const
+bool BackendMonitor::hasEnded(const BackendIncarnation &backend) const
 {
     return backend.isBefore(backend_)
            || std::find(ended_.begin(), ended_.end(), backend) != ended_.end();
@@ -99,7 +100,7 @@
     return changed;
 }
 
-bool BackendMonitor::onDeregister(const BackendLife &backend)
+bool BackendMonitor::onDeregister(const BackendIncarnation &backend)
 {
     const bool otherLife = backend.born != 0 && backend_.born != 0 && backend.born != backend_.born;
     if (backend.id != backend_.id || otherLife) {
@@ -115,9 +116,9 @@
     return true;
 }
 
-bool BackendMonitor::onOtherLife(const std::string &backend, TimePoint now)
+bool BackendMonitor::onOtherIncarnation(const std::string &backend, TimePoint now)
 {
-    const auto isNamed = [&backend](const BackendLife &life) { return life.id == backend; };
+    const auto isNamed = [&backend](const BackendIncarnation &life) { return life.id == backend; };
     if (isNamed(backend_) || std::any_of(ended_.begin(), ended_.end(), isNamed)) {
         return false;
     }
@@ -157,7 +158,7 @@
     return true;
 }
 
-bool BackendMonitor::onSilence()
+bool BackendMonitor::onNoResponse()
 {
     if (state_ != BackendState::Ready) {
         return false;
--- a/src/decision/member/backend_monitor.h
+++ b/src/decision/member/backend_monitor.h
@@ -54,10 +54,10 @@
      * node has just started) is remembered as leaving: the acknowledgement binds all the same.
      * @return Whether anything changed.
      */
-    bool onDeregister(const BackendLife &backend);
+    bool onDeregister(const BackendIncarnation &backend);
 
     /** Its address answered for another life, or an order named one. @return As above. */
-    bool onOtherLife(const std::string &backend, TimePoint now);
+    bool onOtherIncarnation(const std::string &backend, TimePoint now);
 
     /**
      * A connection to its address was refused: it has ended, or lives and has too many of them. One
@@ -68,16 +68,16 @@
     bool onRefusedConnection();
 
     /** @param isWorking Tells whether requests are at work at the backend server now. */
-    void askWork(std::function<bool()> isWorking) { isWorking_ = std::move(isWorking); }
+    void setBusyCheck(std::function<bool()> isWorking) { isWorking_ = std::move(isWorking); }
 
     /** A request or an order was answered. @return Whether a silent one is back. */
     bool onAnswer(TimePoint now);
 
     /** Nothing has answered for long: take it as Down until it answers or reports again. */
-    bool onSilence();
+    bool onNoResponse();
 
     BackendState state() const { return state_; }
-    const BackendLife &backend() const { return backend_; }
+    const BackendIncarnation &backend() const { return backend_; }
 
     /** @return Whether @p report is the newest one, of the present life. */
     bool isNewest(const BackendReport &report) const
@@ -92,7 +92,7 @@
     TimePoint heardAt() const { return heardAt_; }
 
     /** @return Whether it is down since its address refuses connections. */
-    bool isRefusing() const { return refusing_; }
+    bool refusesConnections() const { return refusing_; }
 
     BackendEvidence evidence() const { return evidence_; }
 
@@ -100,14 +100,14 @@
     uint64_t refusedConnections() const { return refusedConnections_; }
 
 private:
-    void beginLife(const BackendLife &backend);
+    void beginLife(const BackendIncarnation &backend);
     void endLife();
-    void remember(std::deque<BackendLife> &lives, const BackendLife &backend) const;
-    bool hasEnded(const BackendLife &backend) const;
-    bool isDeparting(const BackendLife &backend) const;
+    void remember(std::deque<BackendIncarnation> &lives, const BackendIncarnation &backend) const;
+    bool hasEnded(const BackendIncarnation &backend) const;
+    bool isDeparting(const BackendIncarnation &backend) const;
 
     MonitorLimits limits_;
-    BackendLife backend_;
+    BackendIncarnation backend_;
     std::string service_;
     BackendState state_ = BackendState::Absent;
     BackendEvidence evidence_ = BackendEvidence::Nothing; ///< Of the latest change.
@@ -119,8 +119,8 @@
     bool leaving_ = false; ///< Deregistered or draining; only a new life ends that.
     TimePoint heardAt_ = NeverTime;
     std::function<bool()> isWorking_; ///< Empty: nobody can tell.
-    std::deque<BackendLife> ended_;
-    std::deque<BackendLife> departing_; ///< Lives that said so before they were known here.
+    std::deque<BackendIncarnation> ended_;
+    std::deque<BackendIncarnation> departing_; ///< Lives that said so before they were known here.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/member/member_type.h
+++ b/src/decision/member/member_type.h
@@ -4,7 +4,7 @@
 
 #include "core/id_type.h"
 #include "core/time_type.h"
-#include "decision/range/hold_report.h"
+#include "decision/range/held_keys.h"
 
 #include <optional>
 
@@ -29,8 +29,8 @@
     std::string ip;   ///< Of the node's listener for other nodes.
     uint16_t peerPort = 0;
     std::string failureDomain;
-    std::string service; ///< Of the backend server.
-    BackendLife backend; ///< Empty while Absent.
+    std::string service;        ///< Of the backend server.
+    BackendIncarnation backend; ///< Empty while Absent.
     BackendState state = BackendState::Absent;
     uint32_t slots = 0;    ///< Requests that the backend server runs at once.
     bool stopping = false; ///< The node's process has been told to end.
@@ -42,13 +42,13 @@
 
 /** A heartbeat of a backend server, as its node received it. */
 struct BackendReport {
-    BackendLife backend;
+    BackendIncarnation backend;
     std::string service;
     BackendState state = BackendState::Ready;
     uint32_t slots = 0;
-    milliseconds coldFor{0};           ///< How much longer it stays slow after its start.
-    uint64_t sequence = 0;             ///< Rises with each report of one life.
-    std::optional<HoldReport> holding; ///< Nothing if its service is not divided by key.
+    milliseconds warmUpLeft{0};            ///< How much longer it stays slow after its start.
+    uint64_t sequence = 0;                 ///< Rises with each report of one life.
+    std::optional<HeldKeysReport> holding; ///< Nothing if its service is not divided by key.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/member/report_check.cpp
+++ b/src/decision/member/report_check.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /** The present life stays believed when its service leaves the configuration. */
-bool isOfUnknownService(const BackendReport &report, const BackendLife &present,
+bool isOfUnknownService(const BackendReport &report, const BackendIncarnation &present,
                         const RouteTable &routes)
 {
     const bool known = report.backend == present;
@@ -16,15 +16,15 @@
 }
 
 /** Without its start a life cannot be told from an earlier one of the same id. */
-bool concealsItsStart(const BackendReport &report, const BackendLife &present)
+bool concealsItsStart(const BackendReport &report, const BackendIncarnation &present)
 {
     return report.backend.born == 0 && present.born != 0;
 }
 
 } // namespace
 
-std::optional<Failure> refuseReport(const BackendReport &report, const BackendLife &present,
-                                    const RouteTable &routes)
+std::optional<Failure> checkReport(const BackendReport &report, const BackendIncarnation &present,
+                                   const RouteTable &routes)
 {
     if (isOfUnknownService(report, present, routes)) {
         return Failure{FailureCode::Malformed, "heartbeat.service: not in the configuration"};
--- a/src/decision/member/report_check.h
+++ b/src/decision/member/report_check.h
@@ -20,7 +20,7 @@
  *        node that starts while the store is away would have no backend server.
  * @return Why @p report is refused; nothing if it is to be taken.
  */
-std::optional<Failure> refuseReport(const BackendReport &report, const BackendLife &present,
-                                    const RouteTable &routes);
+std::optional<Failure> checkReport(const BackendReport &report, const BackendIncarnation &present,
+                                   const RouteTable &routes);
 
 } // namespace wisteriahoist
--- a/src/decision/ownership/coordinator_assignment.cpp
+++ b/src/decision/ownership/coordinator_assignment.cpp
@@ -17,9 +17,9 @@
     case MeasurePriority::Even:
         return {};
     case MeasurePriority::UnavailableTime:
-        return PotegladWeights;
+        return UnavailableTimeWeights;
     case MeasurePriority::Churn:
-        return KalahariWeights;
+        return ChurnWeights;
     }
     return {};
 }
--- a/src/decision/placement/table/placement_profiles.h
+++ b/src/decision/placement/table/placement_profiles.h
@@ -20,18 +20,21 @@
 };
 
 /** Unavailable time first: an owner who waits leaves. Moves are short, so balance comes second. */
-inline constexpr PlacementWeights PotegladWeights{2.0, 1.0, 4.0};
+inline constexpr PlacementWeights UnavailableTimeWeights{2.0, 1.0, 4.0};
 
 /** Churn first: report and scheduling state is costly to move, and clients can wait. */
-inline constexpr PlacementWeights KalahariWeights{2.0, 6.0, 1.0};
+inline constexpr PlacementWeights ChurnWeights{2.0, 6.0, 1.0};
 
 inline constexpr std::array PlacementProfiles{
-        PlacementProfile{"poteglad-profiles", 3, 12, 120, "unavailable time", PotegladWeights},
-        PlacementProfile{"poteglad-booking", 3, 12, 120, "unavailable time", PotegladWeights},
-        PlacementProfile{"poteglad-care-notes", 4, 12, 120, "unavailable time", PotegladWeights},
-        PlacementProfile{"kalahari-reports", 5, 12, 80, "churn", KalahariWeights},
-        PlacementProfile{"kalahari-booking", 3, 12, 80, "churn", KalahariWeights},
-        PlacementProfile{"kalahari-records", 3, 12, 80, "churn", KalahariWeights},
+        PlacementProfile{"poteglad-profiles", 3, 12, 120, "unavailable time",
+                         UnavailableTimeWeights},
+        PlacementProfile{"poteglad-booking", 3, 12, 120, "unavailable time",
+                         UnavailableTimeWeights},
+        PlacementProfile{"poteglad-care-notes", 4, 12, 120, "unavailable time",
+                         UnavailableTimeWeights},
+        PlacementProfile{"kalahari-reports", 5, 12, 80, "churn", ChurnWeights},
+        PlacementProfile{"kalahari-booking", 3, 12, 80, "churn", ChurnWeights},
+        PlacementProfile{"kalahari-records", 3, 12, 80, "churn", ChurnWeights},
 };
 
 } // namespace wisteriahoist
--- a/src/decision/range/grant_authority.cpp
+++ b/src/decision/range/grant_authority.cpp
@@ -67,7 +67,7 @@
     return std::min(lease_.validUntil(), contactUntil_);
 }
 
-bool WitnessDesk::onHeartbeat(NodeId node, Incarnation life, TimePoint now)
+bool HeartbeatWitness::onHeartbeat(NodeId node, Incarnation life, TimePoint now)
 {
     Entry &entry = entries_[node];
     if (entry.fenced.count(life) > 0) {
@@ -78,7 +78,7 @@
     return true;
 }
 
-bool WitnessDesk::onFence(NodeId node, Incarnation life, TimePoint now)
+bool HeartbeatWitness::onFence(NodeId node, Incarnation life, TimePoint now)
 {
     Entry &entry = entries_[node];
     if (entry.heard == life && now - entry.heardAt < times_.recent) {
@@ -88,7 +88,7 @@
     return true;
 }
 
-Takeover::Takeover(ContactTimes times, Incarnation life, std::vector<NodeId> witnesses)
+Takeover::Takeover(WitnessTimes times, Incarnation life, std::vector<NodeId> witnesses)
     : times_(times), life_(life), witnesses_(std::move(witnesses))
 { }
 
--- a/src/decision/range/grant_authority.h
+++ b/src/decision/range/grant_authority.h
@@ -13,7 +13,7 @@
 namespace wisteriahoist {
 
 /** Times of the contact with witnesses. */
-struct ContactTimes {
+struct WitnessTimes {
     /**
      * How long a witness's answer counts, from the sending of the heartbeat. No grant lasts for
      * longer, so it is not shorter than those are to be; a lost node's keys wait for it.
@@ -44,7 +44,7 @@
 class GrantAuthority
 {
 public:
-    GrantAuthority(StoreLeaseTimes lease, ContactTimes contact) : lease_(lease), contact_(contact)
+    GrantAuthority(StoreLeaseTimes lease, WitnessTimes contact) : lease_(lease), contact_(contact)
     { }
 
     StoreLease &lease() { return lease_; }
@@ -75,7 +75,7 @@
     bool namesNobody() const { return named_.empty() && !isBound_; }
 
     StoreLease lease_;
-    ContactTimes contact_;
+    WitnessTimes contact_;
     std::set<NodeId> named_;   ///< By the stored lease.
     std::set<NodeId> counted_; ///< Whose answers count; a part of named_.
     /** The stored lease names nobody, but a renewal that does was sent and may have been taken. A
@@ -91,10 +91,10 @@
  * The witness's side: answers heartbeats of others, and fences them when a taker asks.
  * Invariant: a life that was fenced is never answered again by this life of the witness.
  */
-class WitnessDesk
+class HeartbeatWitness
 {
 public:
-    explicit WitnessDesk(ContactTimes times) : times_(times) { }
+    explicit HeartbeatWitness(WitnessTimes times) : times_(times) { }
 
     /** @return Whether the heartbeat is answered; false: this life is fenced. */
     bool onHeartbeat(NodeId node, Incarnation life, TimePoint now);
@@ -109,7 +109,7 @@
         std::set<Incarnation> fenced;
     };
 
-    ContactTimes times_;
+    WitnessTimes times_;
     std::map<NodeId, Entry> entries_;
 };
 
@@ -119,7 +119,7 @@
 class Takeover
 {
 public:
-    Takeover(ContactTimes times, Incarnation life, std::vector<NodeId> witnesses);
+    Takeover(WitnessTimes times, Incarnation life, std::vector<NodeId> witnesses);
 
     const std::vector<NodeId> &witnesses() const { return witnesses_; }
     Incarnation life() const { return life_; }
@@ -139,7 +139,7 @@
         TimePoint since = NeverTime;
     };
 
-    ContactTimes times_;
+    WitnessTimes times_;
     Incarnation life_;
     std::vector<NodeId> witnesses_;
     std::map<NodeId, Fence> fences_;
--- a/src/decision/range/range_keeper.cpp
+++ b/src/decision/range/grant_manager.cpp
@@ -1,6 +1,6 @@
-/** @file range_keeper.cpp What one node grants to the backend server beside it. */
+/** @file grant_manager.cpp What one node grants to the backend server beside it. */
 
-#include "decision/range/range_keeper.h"
+#include "decision/range/grant_manager.h"
 
 #include <algorithm>
 
@@ -56,14 +56,14 @@
     return "unknown";
 }
 
-TimePoint RangeKeeper::lapseOf(const GrantTimes &times, milliseconds hold, TimePoint now)
+TimePoint GrantManager::lapseOf(const GrantTimes &times, milliseconds hold, TimePoint now)
 {
     const auto drift = std::chrono::duration_cast<Duration>(hold * times.driftShare);
     return now + hold + drift + times.arrival;
 }
 
-void RangeKeeper::onTable(const RangeTable &table, const std::optional<RangeHolder> &self,
-                          TimePoint now)
+void GrantManager::onTable(const RangeTable &table, const std::optional<RangeHolder> &self,
+                           TimePoint now)
 {
     held_.insert(held_.end(), std::make_move_iterator(unlisted_.begin()),
                  std::make_move_iterator(unlisted_.end()));
@@ -86,7 +86,7 @@
     held_ = std::move(next);
 }
 
-uint32_t RangeKeeper::countListed(const Held &held, const std::vector<Held> &next)
+uint32_t GrantManager::countListed(const Held &held, const std::vector<Held> &next)
 {
     uint32_t listed = 0;
     for (const Held &other : next) {
@@ -99,7 +99,7 @@
     return listed;
 }
 
-void RangeKeeper::rememberDropped(const RangeTable &table, const std::vector<Held> &next)
+void GrantManager::rememberDropped(const RangeTable &table, const std::vector<Held> &next)
 {
     unlisted_.clear();
     for (Held &held : held_) {
@@ -120,8 +120,8 @@
     }
 }
 
-void RangeKeeper::takeEntry(const KeySpan &span, const RangeEntry &entry, TimePoint now,
-                            std::vector<Held> &next) const
+void GrantManager::takeEntry(const KeySpan &span, const RangeEntry &entry, TimePoint now,
+                             std::vector<Held> &next) const
 {
     Held fresh;
     fresh.fence = entry.fence;
@@ -153,9 +153,9 @@
     }
 }
 
-std::vector<GrantOrder> RangeKeeper::takeDueGrants(TimePoint leaseUntil, TimePoint now)
+std::vector<GrantRequest> GrantManager::takeDueGrants(TimePoint leaseUntil, TimePoint now)
 {
-    std::vector<GrantOrder> orders;
+    std::vector<GrantRequest> orders;
     const auto left = std::chrono::duration_cast<milliseconds>(leaseUntil - now);
     const milliseconds hold = std::min(times_.hold, left);
     if (hold < times_.least) {
@@ -176,7 +176,7 @@
     return orders;
 }
 
-std::vector<RangeKeeper::Held *> RangeKeeper::dueForGrant(TimePoint now)
+std::vector<GrantManager::Held *> GrantManager::dueForGrant(TimePoint now)
 {
     std::vector<Held *> due;
     size_t open = 0;
@@ -193,7 +193,7 @@
     return due;
 }
 
-void RangeKeeper::onGrantEnd(const GrantOrder &order, OrderResult result)
+void GrantManager::onGrantEnd(const GrantRequest &order, ControlResult result)
 {
     // A range may have been cut since the order was sent; the grant covers each part.
     for (Held &held : held_) {
@@ -204,36 +204,36 @@
     }
 }
 
-void RangeKeeper::applyGrantEnd(Held &held, const GrantOrder &order, OrderResult result) const
+void GrantManager::applyGrantEnd(Held &held, const GrantRequest &order, ControlResult result) const
 {
     const TimePoint lapse = lapseOf(times_, order.hold, order.sentAt);
     if (held.pendingUntil == lapse) {
         held.pendingUntil = NeverTime;
     }
     switch (result) {
-    case OrderResult::Accepted:
+    case ControlResult::Accepted:
         held.confirmedUntil = std::max(held.confirmedUntil, order.sentAt + order.hold);
         held.dueAt = order.sentAt + times_.renewEvery;
         break;
-    case OrderResult::HigherFence:
+    case ControlResult::StaleFence:
         // Sending the same fence again can only be refused again.
         held.refused = true;
         held.confirmedUntil = NeverTime;
         break;
-    case OrderResult::Unanswered:
+    case ControlResult::Unanswered:
         held.unansweredUntil = std::max(held.unansweredUntil, lapse);
         held.dueAt = order.sentAt; // At once: the same call again renews the grant.
         break;
-    case OrderResult::NotSent:
+    case ControlResult::NotSent:
         held.dueAt = order.sentAt + RefusalPause;
         break;
-    case OrderResult::TooLate:
+    case ControlResult::TooLate:
         held.dueAt = order.sentAt;
         break;
     }
 }
 
-void RangeKeeper::beginRelease(const KeySpan &span)
+void GrantManager::beginRelease(const KeySpan &span)
 {
     std::vector<Held> next;
     for (Held &held : held_) {
@@ -264,9 +264,9 @@
     held_ = std::move(next);
 }
 
-std::vector<ReleaseOrder> RangeKeeper::takeDueReleases(TimePoint now)
+std::vector<ReleaseRequest> GrantManager::takeDueReleases(TimePoint now)
 {
-    std::vector<ReleaseOrder> orders;
+    std::vector<ReleaseRequest> orders;
     for (Held &held : held_) {
         // A grant and a release on two connections may overtake each other: the grant, applied
         // last, would take the keys up again, and its answer looks like any other.
@@ -280,8 +280,8 @@
     return orders;
 }
 
-void RangeKeeper::onReleaseEnd(const ReleaseOrder &order, OrderResult result,
-                               const std::string &handover, TimePoint now)
+void GrantManager::onReleaseEnd(const ReleaseRequest &order, ControlResult result,
+                                const std::string &handover, TimePoint now)
 {
     // A range that was cut or listed anew since has been granted more than the order releases; its
     // answer would pass for the end of grants that came after it.
@@ -292,7 +292,7 @@
         return;
     }
     held->release = 0;
-    if (result != OrderResult::Accepted) {
+    if (result != ControlResult::Accepted) {
         held->releaseDueAt = now + ReleaseRetry;
         return;
     }
@@ -302,7 +302,7 @@
     held->proof.confirmedAt = now;
 }
 
-std::vector<ReleasedRange> RangeKeeper::releasedRanges(TimePoint now) const
+std::vector<ReleasedRange> GrantManager::releasedRanges(TimePoint now) const
 {
     std::vector<ReleasedRange> released;
     for (const Held &held : held_) {
@@ -320,14 +320,14 @@
     return released;
 }
 
-bool RangeKeeper::admits(ShardKey key, TimePoint leaseUntil, TimePoint now) const
+bool GrantManager::admits(ShardKey key, TimePoint leaseUntil, TimePoint now) const
 {
     const Held *held = find(key);
     return held != nullptr && !held->leaving && now >= held->admittedFrom
            && now < held->confirmedUntil && now < leaseUntil;
 }
 
-void RangeKeeper::onHolds(const HoldReport &report, TimePoint now)
+void GrantManager::onHolds(const HeldKeysReport &report, TimePoint now)
 {
     for (Held &held : held_) {
         if (areShown(report.holds, held.span, held.fence)) {
@@ -364,7 +364,7 @@
  * another fence may be that of before, told by a heartbeat that was sent before they were taken up
  * again. Only what was shown under its present fence can have been released under it.
  */
-void RangeKeeper::takeReleased(const ReleasedKeys &released, uint64_t sequence)
+void GrantManager::takeReleased(const ReleasedKeys &released, uint64_t sequence)
 {
     cutLeavingAt(released.span.first.value());
     cutLeavingAt(released.span.last.value() + 1);
@@ -377,7 +377,7 @@
     }
 }
 
-void RangeKeeper::cutLeavingAt(uint32_t key)
+void GrantManager::cutLeavingAt(uint32_t key)
 {
     for (size_t index = 0; index < held_.size(); ++index) {
         Held &held = held_[index];
@@ -392,7 +392,7 @@
     }
 }
 
-void RangeKeeper::noteShown(Held &held, bool shown) const
+void GrantManager::noteShown(Held &held, bool shown) const
 {
     held.shown = shown;
     if (shown || !held.offered) {
@@ -406,7 +406,7 @@
     held.refused = ++held.missing >= times_.missingReports;
 }
 
-bool RangeKeeper::isAsReported(const HoldReport &report) const
+bool GrantManager::isAsReported(const HeldKeysReport &report) const
 {
     const auto isKept = [this](const HeldKeys &row) {
         uint32_t next = row.span.first.value();
@@ -424,10 +424,10 @@
            && std::all_of(report.holds.begin(), report.holds.end(), isKept);
 }
 
-std::optional<HoldOrder> RangeKeeper::takeHolds(TimePoint receivedAt, TimePoint leaseUntil,
-                                                TimePoint now)
+std::optional<GrantReply> GrantManager::takeHolds(TimePoint receivedAt, TimePoint leaseUntil,
+                                                  TimePoint now)
 {
-    HoldOrder order;
+    GrantReply order;
     if (leaseUntil <= receivedAt) {
         return std::nullopt;
     }
@@ -455,7 +455,7 @@
     return order;
 }
 
-void RangeKeeper::offer(Held &held, milliseconds hold, TimePoint receivedAt, TimePoint now) const
+void GrantManager::offer(Held &held, milliseconds hold, TimePoint receivedAt, TimePoint now) const
 {
     // The hold counts from the sending of the heartbeat, which is not known; it was not later than
     // the arrival.
@@ -469,13 +469,13 @@
     held.proof.grantedAt = now;
 }
 
-bool RangeKeeper::isLeaving(ShardKey key) const
+bool GrantManager::isLeaving(ShardKey key) const
 {
     const Held *held = find(key);
     return held != nullptr && held->leaving;
 }
 
-TimePoint RangeKeeper::lastLapse() const
+TimePoint GrantManager::lastLapse() const
 {
     TimePoint last = earlierUntil_;
     for (const Held &held : held_) {
@@ -484,7 +484,7 @@
     return last;
 }
 
-std::vector<KeySpan> RangeKeeper::refusedSpans() const
+std::vector<KeySpan> GrantManager::refusedSpans() const
 {
     std::vector<KeySpan> spans;
     for (const Held &held : held_) {
@@ -495,12 +495,12 @@
     return spans;
 }
 
-bool RangeKeeper::hasLeaving() const
+bool GrantManager::hasLeaving() const
 {
     return std::any_of(held_.begin(), held_.end(), [](const Held &held) { return held.leaving; });
 }
 
-std::vector<KeySpan> RangeKeeper::heldSpans() const
+std::vector<KeySpan> GrantManager::heldSpans() const
 {
     std::vector<KeySpan> spans;
     for (const Held &held : held_) {
@@ -511,7 +511,7 @@
     return spans;
 }
 
-const RangeKeeper::Held *RangeKeeper::find(ShardKey key) const
+const GrantManager::Held *GrantManager::find(ShardKey key) const
 {
     const auto next = std::upper_bound(
             held_.begin(), held_.end(), key,
--- a/src/decision/range/range_keeper.h
+++ b/src/decision/range/grant_manager.h
@@ -1,9 +1,9 @@
-/** @file range_keeper.h What one node grants to the backend server beside it, renews and takes
+/** @file grant_manager.h What one node grants to the backend server beside it, renews and takes
  * back. */
 
 #pragma once
 
-#include "decision/range/hold_report.h"
+#include "decision/range/held_keys.h"
 
 #include <optional>
 #include <string_view>
@@ -57,7 +57,7 @@
 };
 
 /** A call to the backend server: take these keys, or keep them. */
-struct GrantOrder {
+struct GrantRequest {
     KeySpan span;
     Epoch fence;
     milliseconds hold{0};
@@ -69,19 +69,19 @@
 
 /** A call to the backend server: stop new work on these keys, answer when the old work has ended.
  */
-struct ReleaseOrder {
+struct ReleaseRequest {
     KeySpan span;
     Epoch fence;
     uint64_t number = 0; ///< Among all releases of this process.
 };
 
 /** How a call ended. */
-enum class OrderResult {
+enum class ControlResult {
     Accepted,
-    HigherFence, ///< The backend server has seen a higher fence on one of the keys.
-    Unanswered,  ///< It may take effect, also seconds later.
-    NotSent,     ///< Its connection was refused: it takes no effect.
-    TooLate,     ///< It could not be sent in time, and was not: it takes no effect.
+    StaleFence, ///< The backend server has seen a higher fence on one of the keys.
+    Unanswered, ///< It may take effect, also seconds later.
+    NotSent,    ///< Its connection was refused: it takes no effect.
+    TooLate,    ///< It could not be sent in time, and was not: it takes no effect.
 };
 
 /** What shows that a backend server holds a range no more. */
@@ -130,13 +130,13 @@
  * keys has. A grant without an answer may still be applied, also after the release; given on
  * sooner, its keys would be held twice.
  */
-class RangeKeeper
+class GrantManager
 {
 public:
     /**
      * @param earlierUntil When grants that an earlier life of this process sent have run out.
      */
-    RangeKeeper(GrantTimes times, TimePoint earlierUntil)
+    GrantManager(GrantTimes times, TimePoint earlierUntil)
         : times_(times), earlierUntil_(earlierUntil)
     { }
 
@@ -148,32 +148,32 @@
 
     /** @return The grants to send now, those that lapse first first; each counts as sent.
      *  @param leaseUntil No grant outlasts it. */
-    std::vector<GrantOrder> takeDueGrants(TimePoint leaseUntil, TimePoint now);
+    std::vector<GrantRequest> takeDueGrants(TimePoint leaseUntil, TimePoint now);
 
-    void onGrantEnd(const GrantOrder &order, OrderResult result);
+    void onGrantEnd(const GrantRequest &order, ControlResult result);
 
     /** Stops admitting and renewing @p span, to be released. Spans that are not held are ignored.
      */
     void beginRelease(const KeySpan &span);
 
     /** @return The releases to send now; each counts as sent until onReleaseEnd(). */
-    std::vector<ReleaseOrder> takeDueReleases(TimePoint now);
+    std::vector<ReleaseRequest> takeDueReleases(TimePoint now);
 
-    void onReleaseEnd(const ReleaseOrder &order, OrderResult result, const std::string &handover,
-                      TimePoint now);
+    void onReleaseEnd(const ReleaseRequest &order, ControlResult result,
+                      const std::string &handover, TimePoint now);
 
     /** A heartbeat, sent after all earlier ones, tells what the backend server holds. */
-    void onHolds(const HoldReport &report, TimePoint now);
+    void onHolds(const HeldKeysReport &report, TimePoint now);
 
     /** @return Whether it holds all that it should, and nothing else, as @p report has it. */
-    bool isAsReported(const HoldReport &report) const;
+    bool isAsReported(const HeldKeysReport &report) const;
 
     /**
      * @return What the answer to a heartbeat that arrived at @p receivedAt grants; it counts as
      *         sent. Nothing if there is no authority to grant for long enough; the answer then must
      *         leave alone what is held. @param leaseUntil No grant outlasts it.
      */
-    std::optional<HoldOrder> takeHolds(TimePoint receivedAt, TimePoint leaseUntil, TimePoint now);
+    std::optional<GrantReply> takeHolds(TimePoint receivedAt, TimePoint leaseUntil, TimePoint now);
 
     /** @return Ranges that may be written to others; they stay listed until the table names them
      *  others'. */
@@ -237,7 +237,7 @@
     void noteShown(Held &held, bool shown) const;
     void offer(Held &held, milliseconds hold, TimePoint receivedAt, TimePoint now) const;
     void cutLeavingAt(uint32_t key);
-    void applyGrantEnd(Held &held, const GrantOrder &order, OrderResult result) const;
+    void applyGrantEnd(Held &held, const GrantRequest &order, ControlResult result) const;
     const Held *find(ShardKey key) const;
 
     GrantTimes times_;
--- a/src/decision/range/range_block.cpp
+++ b/src/decision/range/range_block.cpp
@@ -31,7 +31,7 @@
     return {static_cast<uint32_t>(std::min<size_t>(wanted, MostBlocks))};
 }
 
-bool isLayoutCount(uint32_t count)
+bool isValidBlockCount(uint32_t count)
 {
     return std::has_single_bit(count) && count <= MostBlocks;
 }
--- a/src/decision/range/range_block.h
+++ b/src/decision/range/range_block.h
@@ -33,7 +33,7 @@
 BlockLayout chooseLayout(size_t holders);
 
 /** @return Whether @p count may be a layout's. */
-bool isLayoutCount(uint32_t count);
+bool isValidBlockCount(uint32_t count);
 
 /** @return The ranges of @p table within @p span, cut at its ends. */
 RangeTable cutBlock(const RangeTable &table, const KeySpan &span);
--- a/src/decision/range/range_type.h
+++ b/src/decision/range/range_type.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include "core/backend_life.h"
+#include "core/backend_incarnation.h"
 #include "core/id_type.h"
 #include "core/time_type.h"
 
@@ -36,7 +36,7 @@
 struct RangeHolder {
     NodeId node;      ///< InvalidNode: nobody.
     Incarnation life; ///< Of the node's process.
-    BackendLife backend;
+    BackendIncarnation backend;
     bool operator==(const RangeHolder &) const = default;
 
     bool isNobody() const { return node == InvalidNode; }
--- a/src/decision/request/admission_control.cpp
+++ b/src/decision/request/admission_control.cpp
@@ -87,7 +87,7 @@
     waiting_[item.id] = {rank, item.kind};
     decision.step = AdmissionDecision::Step::Wait;
     const Duration patience = std::max<Duration>(scale(allowed, limits_.patience), LeastPatience);
-    decision.patienceUntil = std::min(item.deadline, now + patience);
+    decision.queueDeadline = std::min(item.deadline, now + patience);
     return decision;
 }
 
--- a/src/decision/request/admission_control.h
+++ b/src/decision/request/admission_control.h
@@ -53,11 +53,11 @@
 struct AdmissionDecision {
     enum class Step {
         Run,   ///< A slot is taken.
-        Wait,  ///< It waits, until patienceUntil at most.
+        Wait,  ///< It waits, until queueDeadline at most.
         Refuse ///< It can't be served in time.
     };
     Step step = Step::Refuse;
-    TimePoint patienceUntil = NeverTime; ///< For Wait.
+    TimePoint queueDeadline = NeverTime; ///< For Wait.
     milliseconds retryAfter{0};          ///< For Refuse: when there may be room.
     Duration predictedWait{0};
 };
--- a/src/decision/request/admission_queue.cpp
+++ b/src/decision/request/admission_queue.cpp
@@ -10,7 +10,7 @@
 
 TimePoint endOf(const QueuedRequest &request)
 {
-    return std::min(request.deadline, request.patienceUntil);
+    return std::min(request.deadline, request.queueDeadline);
 }
 
 } // namespace
--- a/src/decision/request/admission_queue.h
+++ b/src/decision/request/admission_queue.h
@@ -23,7 +23,7 @@
 struct QueuedRequest {
     uint64_t id = 0;
     TimePoint deadline;
-    TimePoint patienceUntil; ///< It is answered not run at this time.
+    TimePoint queueDeadline; ///< It is answered not run at this time.
 };
 
 /**
--- a/src/decision/request/repeat_budget.cpp
+++ b/src/decision/request/fleet_retry_budget.cpp
@@ -1,12 +1,12 @@
-/** @file repeat_budget.cpp This node's part of a fleet-wide budget. */
+/** @file fleet_retry_budget.cpp This node's part of a fleet-wide budget. */
 
-#include "decision/request/repeat_budget.h"
+#include "decision/request/fleet_retry_budget.h"
 
 #include <algorithm>
 
 namespace wisteriahoist {
 
-void RepeatBudget::forget(TimePoint now)
+void FleetRetryBudget::forget(TimePoint now)
 {
     const TimePoint oldest = now - budget_.window;
     for (std::deque<TimePoint> *times : {&requests_, &repeats_}) {
@@ -16,13 +16,13 @@
     }
 }
 
-void RepeatBudget::onRequest(TimePoint now)
+void FleetRetryBudget::onRequest(TimePoint now)
 {
     forget(now);
     requests_.push_back(now);
 }
 
-bool RepeatBudget::tryTake(size_t nodes, TimePoint now)
+bool FleetRetryBudget::tryTake(size_t nodes, TimePoint now)
 {
     forget(now);
     const double own = budget_.ratio * static_cast<double>(requests_.size());
--- a/src/decision/request/repeat_budget.h
+++ b/src/decision/request/fleet_retry_budget.h
@@ -1,4 +1,5 @@
-/** @file repeat_budget.h This node's part of a fleet-wide budget for sending requests once more. */
+/** @file fleet_retry_budget.h This node's part of a fleet-wide budget for sending requests once
+ * more. */
 
 #pragma once
 
@@ -10,11 +11,11 @@
 namespace wisteriahoist {
 
 /** The budget of one service, over all nodes. */
-struct FleetBudget {
+struct FleetRetryLimits {
     double ratio = 0.2; ///< Repeats for each request of the same window.
     double slack = 60;  ///< Repeats beyond that in one window.
     milliseconds window{10000};
-    bool operator==(const FleetBudget &) const = default;
+    bool operator==(const FleetRetryLimits &) const = default;
 };
 
 /**
@@ -24,14 +25,14 @@
  * count as repeats at the service that they go to; so only a part of the ratio and of the slack is
  * used here, see usedShare.
  */
-class RepeatBudget
+class FleetRetryBudget
 {
 public:
     /** Nested calls of a repeated run add up to 1.4 repeats on the users' sites, and a node that
      *  has just restarted does not remember what it spent. */
     static constexpr double UsedShare = 0.4;
 
-    explicit RepeatBudget(FleetBudget budget) : budget_(budget) { }
+    explicit FleetRetryBudget(FleetRetryLimits budget) : budget_(budget) { }
 
     void onRequest(TimePoint now);
 
@@ -42,7 +43,7 @@
 private:
     void forget(TimePoint now);
 
-    FleetBudget budget_;
+    FleetRetryLimits budget_;
     std::deque<TimePoint> requests_; ///< Of the last window.
     std::deque<TimePoint> repeats_;  ///< Of the last window.
 };
--- a/src/decision/request/outcome_table.cpp
+++ b/src/decision/request/outcome_table.cpp
@@ -25,7 +25,7 @@
         return "no-backend";
     case RequestEnd::Overloaded:
         return "overloaded";
-    case RequestEnd::PatienceOver:
+    case RequestEnd::QueueTimeout:
         return "patience-over";
     case RequestEnd::Unreachable:
         return "unreachable";
@@ -37,19 +37,19 @@
         return "bad-answer";
     case RequestEnd::CallerGone:
         return "caller-gone";
-    case RequestEnd::KeyMissing:
+    case RequestEnd::IdempotencyKeyMissing:
         return "idempotency-key-missing";
-    case RequestEnd::KeyMalformed:
+    case RequestEnd::IdempotencyKeyMalformed:
         return "idempotency-key-malformed";
-    case RequestEnd::KeyReused:
+    case RequestEnd::IdempotencyKeyReused:
         return "idempotency-key-reused";
-    case RequestEnd::KeyTableFull:
+    case RequestEnd::DeduplicationTableFull:
         return "idempotency-table-full";
-    case RequestEnd::KeyInProgress:
+    case RequestEnd::IdempotencyKeyInProgress:
         return "idempotency-key-in-progress";
-    case RequestEnd::KeyLost:
+    case RequestEnd::IdempotencyOutcomeUnknown:
         return "idempotency-key-outcome-lost";
-    case RequestEnd::KeyTooOld:
+    case RequestEnd::IdempotencyKeyTooOld:
         return "idempotency-key-older-than-epoch";
     }
     return "unknown";
@@ -64,10 +64,10 @@
         return 499;
     case RequestEnd::DeadlineOver:
         return 504;
-    case RequestEnd::KeyMissing:
-    case RequestEnd::KeyMalformed:
+    case RequestEnd::IdempotencyKeyMissing:
+    case RequestEnd::IdempotencyKeyMalformed:
         return 400;
-    case RequestEnd::KeyReused:
+    case RequestEnd::IdempotencyKeyReused:
         return 422;
     default:
         return 503;
@@ -81,9 +81,9 @@
     case RequestEnd::NoLease:
     case RequestEnd::Unreachable:
         return RetryOwner;
-    case RequestEnd::KeyMissing:
-    case RequestEnd::KeyMalformed:
-    case RequestEnd::KeyReused:
+    case RequestEnd::IdempotencyKeyMissing:
+    case RequestEnd::IdempotencyKeyMalformed:
+    case RequestEnd::IdempotencyKeyReused:
         return milliseconds(0);
     case RequestEnd::NoBackend:
         return RetryBackend;
@@ -95,8 +95,9 @@
 /** @return Whether the end speaks of an earlier sending of the same key, which may have run. */
 bool isAboutEarlierSending(RequestEnd end)
 {
-    return end == RequestEnd::KeyInProgress || end == RequestEnd::KeyLost
-           || end == RequestEnd::KeyTooOld;
+    return end == RequestEnd::IdempotencyKeyInProgress
+           || end == RequestEnd::IdempotencyOutcomeUnknown
+           || end == RequestEnd::IdempotencyKeyTooOld;
 }
 
 uint16_t unknownStatus(RequestEnd end)
@@ -124,7 +125,7 @@
 
 } // namespace
 
-Verdict decideOutcome(RequestStage stage, RequestEnd end)
+OutcomeDecision decideOutcome(RequestStage stage, RequestEnd end)
 {
     if (stage == RequestStage::Answered && end == RequestEnd::None) {
         return {Outcome::Done, 200, endName(end), milliseconds(0)};
@@ -132,7 +133,8 @@
     if (isProvablyNotRun(stage, end)) {
         return {Outcome::NotRun, notRunStatus(end), endName(end), retryAfterOf(end)};
     }
-    const milliseconds retryAfter = end == RequestEnd::KeyInProgress ? RetrySoon : milliseconds(0);
+    const milliseconds retryAfter
+            = end == RequestEnd::IdempotencyKeyInProgress ? RetrySoon : milliseconds(0);
     return {Outcome::Unknown, unknownStatus(end), endName(end), retryAfter};
 }
 
--- a/src/decision/request/retry_policy.cpp
+++ b/src/decision/request/retry_policy.cpp
@@ -37,7 +37,7 @@
     return true;
 }
 
-RetryDecision decideRetry(const FailedTry &failed, RetryBudget &budget, double jitter,
+RetryDecision decideRetry(const FailedAttempt &failed, RetryBudget &budget, double jitter,
                           TimePoint now)
 {
     const bool repeatable = failed.outcome == Outcome::NotRun
--- a/src/decision/request/retry_policy.h
+++ b/src/decision/request/retry_policy.h
@@ -43,7 +43,7 @@
 };
 
 /** What is known of a try that failed. */
-struct FailedTry {
+struct FailedAttempt {
     Outcome outcome = Outcome::Unknown;
     bool idempotent = false;    ///< The declared rule says so.
     uint32_t attempt = 0;       ///< 0: this was the first.
@@ -62,7 +62,7 @@
  * tries of one request are at most RetryLimits::attempts whatever the number of hops.
  * @param jitter In [0, 1): spreads the pauses of many callers.
  */
-RetryDecision decideRetry(const FailedTry &failed, RetryBudget &budget, double jitter,
+RetryDecision decideRetry(const FailedAttempt &failed, RetryBudget &budget, double jitter,
                           TimePoint now);
 
 } // namespace wisteriahoist
--- a/src/decision/routing/route_config_type.h
+++ b/src/decision/routing/route_config_type.h
@@ -40,7 +40,7 @@
 };
 
 /** How a backend server is told which keys it holds. */
-enum class GrantForm {
+enum class GrantDelivery {
     Call,      ///< A call for each range.
     Heartbeat, ///< All at once, in the answer to its heartbeat.
 };
@@ -50,7 +50,7 @@
     std::string name;
     uint32_t maxConnections = 0; ///< That an instance accepts in all; 0: not declared.
     bool sharded = false;        ///< Each instance holds a part of the keys.
-    GrantForm grants = GrantForm::Call;
+    GrantDelivery grants = GrantDelivery::Call;
     bool operator==(const ServiceConfig &) const = default;
 };
 
--- a/src/duty/admin_duty.cpp
+++ b/src/duty/admin_duty.cpp
@@ -72,8 +72,8 @@
 } // namespace
 
 AdminDuty::AdminDuty(asio::io_context &context, const std::string &ip, uint16_t port,
-                     FleetKeys keys, AdminLink &control, const NodeSignals &signals)
-    : control_(control), signals_(signals), ip_(ip), verifier_(std::move(keys), ReplayBounds()),
+                     FleetKeys keys, AdminLink &control, const NodeTelemetry &telemetry)
+    : control_(control), telemetry_(telemetry), ip_(ip), verifier_(std::move(keys), ReplayBounds()),
       server_(std::make_shared<HttpServer>(
               context, ip, port, HttpLimits{},
               [this](HttpRequest request) { return onRequest(std::move(request)); }))
@@ -168,13 +168,13 @@
 HttpResponse AdminDuty::onGet(const std::string &target) const
 {
     if (target == "/metrics") {
-        return signals_.metricsPage();
+        return telemetry_.metricsPage();
     }
     if (target == "/healthz") {
-        return signals_.healthPage();
+        return telemetry_.healthPage();
     }
     if (target == "/readyz") {
-        return signals_.readyPage();
+        return telemetry_.readyPage();
     }
     return makeProblemResponse({http::status::not_found, "not-found", target});
 }
--- a/src/duty/admin_duty.h
+++ b/src/duty/admin_duty.h
@@ -5,7 +5,7 @@
 #include "adapter/auth/fleet_authenticator.h"
 #include "adapter/http/http_server.h"
 #include "duty/duty_message.h"
-#include "duty/node_signals.h"
+#include "duty/node_telemetry.h"
 
 namespace wisteriahoist {
 
@@ -15,7 +15,7 @@
 public:
     /** @param keys The fleet's keys; empty: operators' calls need no signature. */
     AdminDuty(asio::io_context &context, const std::string &ip, uint16_t port, FleetKeys keys,
-              AdminLink &control, const NodeSignals &signals);
+              AdminLink &control, const NodeTelemetry &telemetry);
 
     void start();
     void stop();
@@ -33,7 +33,7 @@
     Result<void> authenticate(const HttpRequest &request);
 
     AdminLink &control_;
-    const NodeSignals &signals_;
+    const NodeTelemetry &telemetry_;
     std::string ip_;        ///< This node's; part of what a signature covers.
     CallVerifier verifier_; ///< Admin thread only.
     std::shared_ptr<HttpServer> server_;
--- a/src/duty/backend_gate.cpp
+++ b/src/duty/backend_gate.cpp
@@ -45,17 +45,17 @@
 
 BackendGate::BackendGate(asio::io_context &context, const Clock &clock,
                          const RequestProtocol &protocol, const std::string &ip, uint16_t port,
-                         BackendMonitor &monitor, KeyHolding &holding)
+                         BackendMonitor &monitor, KeyOwnership &holding)
     : context_(context), clock_(clock), protocol_(protocol), monitor_(monitor), holding_(holding),
       client_(context.get_executor(), ip, port, makePoolLimits())
 {
-    monitor_.askWork([this]() { return isWorking(); });
+    monitor_.setBusyCheck([this]() { return isWorking(); });
 }
 
 bool BackendGate::isWorking() const
 {
     return std::any_of(calls_.begin(), calls_.end(), [](const auto &entry) {
-        return entry.second->control->stage() == RequestStage::HandedOver;
+        return entry.second->control->stage() == RequestStage::Sent;
     });
 }
 
@@ -121,18 +121,18 @@
 {
     RequestEnd refusal = check(request, *call, clock_.now());
     if (refusal != RequestEnd::None) {
-        fillVerdict(reply, RequestStage::Received, refusal);
+        fillOutcome(reply, RequestStage::Received, refusal);
         nameOwner(request, refusal, reply);
         co_return;
     }
     if (!breaker_.allow(clock_.now())) {
-        fillVerdict(reply, RequestStage::Received, RequestEnd::Overloaded);
+        fillOutcome(reply, RequestStage::Received, RequestEnd::Overloaded);
         co_return;
     }
     refusal = co_await awaitSlot(request, call, reply);
     if (refusal != RequestEnd::None) {
         const int64_t retryAfter = reply.retry_after_ms();
-        fillVerdict(reply, RequestStage::Queued, refusal);
+        fillOutcome(reply, RequestStage::Queued, refusal);
         reply.set_retry_after_ms(std::max(retryAfter, reply.retry_after_ms()));
         co_return;
     }
@@ -141,7 +141,7 @@
     refusal = check(request, *call, clock_.now());
     if (refusal != RequestEnd::None) {
         admission_.onEnd(kindOf(request), std::nullopt);
-        fillVerdict(reply, RequestStage::Queued, refusal);
+        fillOutcome(reply, RequestStage::Queued, refusal);
         nameOwner(request, refusal, reply);
         wakeNext();
         co_return;
@@ -179,12 +179,12 @@
     if (decision.step == AdmissionDecision::Step::Refuse) {
         reply.set_retry_after_ms(decision.retryAfter.count());
         if (request.keyed()) {
-            holding_.onWork(ShardKey(request.shard_key()), admission_.serviceTime(), now);
+            holding_.recordBusyTime(ShardKey(request.shard_key()), admission_.serviceTime(), now);
         }
         co_return RequestEnd::Overloaded;
     }
     waiting_[item.id] = call;
-    call->timer.expires_after(decision.patienceUntil - now);
+    call->timer.expires_after(decision.queueDeadline - now);
     beast::error_code ignored;
     co_await call->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     waiting_.erase(item.id);
@@ -192,7 +192,7 @@
         co_return RequestEnd::None;
     }
     admission_.remove(item.id);
-    co_return call->cancelled ? RequestEnd::CallerGone : RequestEnd::PatienceOver;
+    co_return call->cancelled ? RequestEnd::CallerGone : RequestEnd::QueueTimeout;
 }
 
 asio::awaitable<void> BackendGate::handOver(const v1::HopRequest &request, Call &call,
@@ -200,20 +200,21 @@
 {
     const TimePoint startedAt = clock_.now();
     HttpRequest forwarded = makeForwardedRequest(request);
-    BackendTerms terms;
+    BackendMetadata terms;
     terms.timeLeft = leftUntil(call.deadline, startedAt);
     terms.backend = monitor_.backend().id;
     terms.callerService = request.caller_service();
-    protocol_.setTerms(forwarded, terms);
-    call.control->expect([this, attemptId = request.attempt_id()](const HttpResponse &response) {
-        return protocol_.judge(response, attemptId) != AnswerKind::Foreign;
+    protocol_.setMetadata(forwarded, terms);
+    call.control->setResponseFilter([this, attemptId
+                                           = request.attempt_id()](const HttpResponse &response) {
+        return protocol_.classifyResponse(response, attemptId) != ResponseKind::WrongRequest;
     });
     const std::shared_ptr<ExchangeControl> control = call.control;
     Result<HttpResponse> answer
             = co_await client_.exchange(std::move(forwarded), terms.timeLeft, control);
     const TimePoint now = clock_.now();
     if (request.keyed()) {
-        holding_.onWork(ShardKey(request.shard_key()), now - startedAt, now);
+        holding_.recordBusyTime(ShardKey(request.shard_key()), now - startedAt, now);
     }
     if (answer) {
         noteMonitorChange(monitor_.onAnswer(now));
@@ -232,17 +233,18 @@
 void BackendGate::fillFromAnswer(const v1::HopRequest &request, HttpResponse answer,
                                  v1::HopReply &reply)
 {
-    const AnswerKind kind = protocol_.judge(answer, request.attempt_id());
-    if (kind == AnswerKind::OtherLife) {
-        fillVerdict(reply, RequestStage::Answered, RequestEnd::BackendRefused);
-        noteMonitorChange(monitor_.onOtherLife(protocol_.namedBackend(answer), clock_.now()));
-    } else if (kind == AnswerKind::NotExecuted) {
-        fillVerdict(reply, RequestStage::Answered, RequestEnd::BackendRefused);
+    const ResponseKind kind = protocol_.classifyResponse(answer, request.attempt_id());
+    if (kind == ResponseKind::WrongIncarnation) {
+        fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
+        noteMonitorChange(
+                monitor_.onOtherIncarnation(protocol_.namedBackend(answer), clock_.now()));
+    } else if (kind == ResponseKind::NotExecuted) {
+        fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
         breaker_.onRefused(clock_.now());
-    } else if (kind != AnswerKind::Complete || promisesNotRun(answer.result_int())) {
+    } else if (kind != ResponseKind::Complete || impliesNotExecuted(answer.result_int())) {
         // A bare 503 of a backend server does not prove that the request has not run; passed on,
         // the caller would take it for such a proof and repeat a booking.
-        fillVerdict(reply, RequestStage::HandedOver, RequestEnd::BadAnswer);
+        fillOutcome(reply, RequestStage::Sent, RequestEnd::BadAnswer);
     } else {
         fillAnswer(reply, std::move(answer), request.method() == "HEAD");
         breaker_.onRun();
@@ -254,7 +256,7 @@
 {
     const bool neverSent = failure.code == FailureCode::Unavailable;
     const RequestStage stage = neverSent ? RequestStage::Queued : call.control->stage();
-    fillVerdict(reply, stage, endOfExchange(failure.code, call.control->isCancelled()));
+    fillOutcome(reply, stage, endOfExchange(failure.code, call.control->isCancelled()));
     reply.set_reached_backend(!neverSent);
     if (call.control->isRefused()) {
         noteMonitorChange(monitor_.onRefusedConnection());
--- a/src/duty/backend_gate.h
+++ b/src/duty/backend_gate.h
@@ -25,10 +25,10 @@
 };
 
 /** Tells the gate which keys its backend server holds, and learns what they cost. */
-class KeyHolding
+class KeyOwnership
 {
 public:
-    virtual ~KeyHolding() = default;
+    virtual ~KeyOwnership() = default;
 
     /** @return None if a request for @p key may be handed over at @p now; else NotOwner for a key
      *          that is on its way, NoLease if nobody may serve it for longer. */
@@ -39,7 +39,7 @@
     virtual std::optional<KeyOwner> ownerOf(ShardKey key) const = 0;
 
     /** A request for @p key kept a slot busy, or would have if there had been room. */
-    virtual void onWork(ShardKey key, Duration busy, TimePoint now) = 0;
+    virtual void recordBusyTime(ShardKey key, Duration busy, TimePoint now) = 0;
 
     /** @return Mean of the slots that keyed requests asked for in the last seconds. */
     virtual double demand(TimePoint now) = 0;
@@ -56,7 +56,8 @@
 {
 public:
     BackendGate(asio::io_context &context, const Clock &clock, const RequestProtocol &protocol,
-                const std::string &ip, uint16_t port, BackendMonitor &monitor, KeyHolding &holding);
+                const std::string &ip, uint16_t port, BackendMonitor &monitor,
+                KeyOwnership &holding);
 
     /** Runs one request or says why not. */
     asio::awaitable<v1::HopReply> run(v1::HopRequest request);
@@ -71,10 +72,10 @@
      * The node ends soon: from now on no requests without a key are admitted, since others can
      * serve them; those with a key are, as long as the key is held here.
      */
-    void closeKeyless() { closed_ = true; }
+    void rejectKeyless() { closed_ = true; }
 
     /** The process ends at @p end at the latest: no request is admitted that may run beyond it. */
-    void endAt(TimePoint end) { endsAt_ = end; }
+    void setShutdownDeadline(TimePoint end) { endsAt_ = end; }
 
     /** @return Whether a request with @p deadline may still run when the process ends. */
     bool mayOutlive(TimePoint deadline, TimePoint now) const;
@@ -83,7 +84,7 @@
     void onMonitorChange(std::function<void()> action) { monitorChanged_ = std::move(action); }
 
     /** @param action Runs when a connection to the backend server was refused or lost. */
-    void onSuspicion(std::function<void()> action) { suspicion_ = std::move(action); }
+    void onConnectionFailure(std::function<void()> action) { suspicion_ = std::move(action); }
 
     /** @param duration Gets the seconds that each answered request took there. */
     void observeWith(Histogram &duration) { duration_ = &duration; }
@@ -121,7 +122,7 @@
     const Clock &clock_;
     const RequestProtocol &protocol_;
     BackendMonitor &monitor_;
-    KeyHolding &holding_;
+    KeyOwnership &holding_;
     HttpClient client_;
     AdmissionControl admission_{AdmissionLimits{}};
     CircuitBreaker breaker_;
--- a/src/duty/backend_watch.cpp
+++ b/src/duty/backend_health_checker.cpp
@@ -1,6 +1,7 @@
-/** @file backend_watch.cpp Looks at the backend server when its heartbeats or connections fail. */
+/** @file backend_health_checker.cpp Looks at the backend server when its heartbeats or connections
+ * fail. */
 
-#include "duty/backend_watch.h"
+#include "duty/backend_health_checker.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -11,40 +12,40 @@
 
 namespace asio = boost::asio;
 
-BackendWatch::BackendWatch(asio::io_context &context, const Clock &clock, BackendControl &backend,
-                           BackendMonitor &monitor, milliseconds heartbeat,
-                           std::function<void()> changed)
+BackendHealthChecker::BackendHealthChecker(asio::io_context &context, const Clock &clock,
+                                           BackendControl &backend, BackendMonitor &monitor,
+                                           milliseconds heartbeat, std::function<void()> changed)
     : context_(context), clock_(clock), backend_(backend), monitor_(monitor), heartbeat_(heartbeat),
       changed_(std::move(changed)), timer_(context)
 { }
 
-void BackendWatch::start()
+void BackendHealthChecker::start()
 {
     const auto loop = [this]() { return run(); };
     asio::co_spawn(context_, loop, asio::detached);
 }
 
-void BackendWatch::suspect()
+void BackendHealthChecker::requestCheck()
 {
     suspected_ = true;
     timer_.cancel();
 }
 
-bool BackendWatch::isDue(TimePoint now) const
+bool BackendHealthChecker::isDue(TimePoint now) const
 {
     const bool listening
             = monitor_.state() == BackendState::Ready || monitor_.state() == BackendState::Draining;
     const bool late = listening && now - monitor_.heardAt() > heartbeat_ * times_.missedHeartbeats;
-    // One that refused connections for lack of them is found out by a look sooner than by its next
-    // heartbeat, which may come late; until then callers are turned away.
-    return suspected_ || late || monitor_.isRefusing();
+    // One that refused connections for lack of them is found out by a pollOnce sooner than by its
+    // next heartbeat, which may come late; until then callers are turned away.
+    return suspected_ || late || monitor_.refusesConnections();
 }
 
-asio::awaitable<void> BackendWatch::run()
+asio::awaitable<void> BackendHealthChecker::run()
 {
     while (true) {
         if (isDue(clock_.now())) {
-            co_await look();
+            co_await pollOnce();
         }
         timer_.expires_after(suspected_ ? times_.betweenLooks : heartbeat_);
         boost::system::error_code ignored;
@@ -52,15 +53,15 @@
     }
 }
 
-asio::awaitable<void> BackendWatch::look()
+asio::awaitable<void> BackendHealthChecker::pollOnce()
 {
-    const BackendSight sight = co_await backend_.look(times_.lookTimeout);
+    const BackendStatus sight = co_await backend_.pollOnce(times_.lookTimeout);
     bool changed = false;
     if (sight.answered) {
         silentLooks_ = 0;
         suspected_ = false;
         if (!sight.backend.empty() && sight.backend != monitor_.backend().id) {
-            changed = monitor_.onOtherLife(sight.backend, clock_.now());
+            changed = monitor_.onOtherIncarnation(sight.backend, clock_.now());
         } else {
             changed = monitor_.onAnswer(clock_.now());
         }
@@ -72,7 +73,7 @@
         suspected_ = ++silentLooks_ < times_.silentLooks;
         if (!suspected_) {
             silentLooks_ = 0;
-            changed = monitor_.onSilence();
+            changed = monitor_.onNoResponse();
         }
     }
     if (changed) {
--- a/src/duty/backend_watch.h
+++ b/src/duty/backend_health_checker.h
@@ -1,4 +1,5 @@
-/** @file backend_watch.h Looks at the backend server when its heartbeats or connections fail. */
+/** @file backend_health_checker.h Looks at the backend server when its heartbeats or connections
+ * fail. */
 
 #pragma once
 
@@ -14,7 +15,7 @@
 
 /** When the watch looks. */
 struct WatchTimes {
-    /** Heartbeats may be seconds late; so many missing ones are worth a look. */
+    /** Heartbeats may be seconds late; so many missing ones are worth a pollOnce. */
     uint32_t missedHeartbeats = 3;
     milliseconds lookTimeout{500};  ///< It answers within a millisecond, or when a slot is free.
     milliseconds betweenLooks{100}; ///< While something is wrong.
@@ -22,24 +23,26 @@
 };
 
 /**
- * Heartbeats say that a backend server lives, nothing says that it has died. Each look takes a slot
- * for a moment and is paid for, so there are none while heartbeats arrive and connections work.
+ * Heartbeats say that a backend server lives, nothing says that it has died. Each pollOnce takes a
+ * slot for a moment and is paid for, so there are none while heartbeats arrive and connections
+ * work.
  */
-class BackendWatch
+class BackendHealthChecker
 {
 public:
-    BackendWatch(boost::asio::io_context &context, const Clock &clock, BackendControl &backend,
-                 BackendMonitor &monitor, milliseconds heartbeat, std::function<void()> changed);
+    BackendHealthChecker(boost::asio::io_context &context, const Clock &clock,
+                         BackendControl &backend, BackendMonitor &monitor, milliseconds heartbeat,
+                         std::function<void()> changed);
 
     /** Looks once at the start: a node that restarts learns at once which life is there. */
     void start();
 
     /** A connection was refused or an answer was lost: looks soon. */
-    void suspect();
+    void requestCheck();
 
 private:
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> look();
+    boost::asio::awaitable<void> pollOnce();
     bool isDue(TimePoint now) const;
 
     boost::asio::io_context &context_;
--- a/src/duty/config_writer.cpp
+++ b/src/duty/config_writer.cpp
@@ -3,7 +3,7 @@
 
 #include "duty/config_writer.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/codec/config_codec.h"
 
 #include <algorithm>
@@ -115,7 +115,7 @@
     milliseconds wait = times_.retryPause;
     for (uint32_t count = 0; count < times_.attempts; ++count) {
         if (count > 0) {
-            co_await pauseFor(wait);
+            co_await sleepFor(wait);
             wait *= 2;
         }
         const Step step = co_await attempt(change);
--- a/src/duty/control_duty.cpp
+++ b/src/duty/control_duty.cpp
@@ -2,7 +2,7 @@
 
 #include "duty/control_duty.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/codec/declaration_codec.h"
 #include "adapter/codec/ownership_codec.h"
 #include "adapter/log/event_log.h"
@@ -59,7 +59,7 @@
             break;
         }
         stepCoordinator();
-        co_await pauseFor(TickInterval);
+        co_await sleepFor(TickInterval);
     }
 }
 
@@ -142,7 +142,7 @@
     while (isCoordinating(term)) {
         Result<VersionedObject> object = co_await platform_.watch(ConfigObject, known, WatchWait);
         if (!object) {
-            co_await pauseFor(WatchRetry);
+            co_await sleepFor(WatchRetry);
             continue;
         }
         if (object.assume_value().version > known) {
@@ -167,7 +167,7 @@
             co_return;
         }
         if (!object) {
-            co_await pauseFor(WatchRetry);
+            co_await sleepFor(WatchRetry);
             continue;
         }
         std::optional<TermRecord> record;
@@ -177,14 +177,14 @@
         }
         coordinator_->onTermSeen(object.assume_value().version, record, askedAt);
         if (object.assume_value().version > coordinator_->termVersion()) {
-            co_await pauseFor(TickInterval); // Our own write, its reply still on its way.
+            co_await sleepFor(TickInterval); // Our own write, its reply still on its way.
         }
     }
 }
 
 asio::awaitable<void> ControlDuty::watchLoss(Term term)
 {
-    co_await pauseFor(LossCheckAfter);
+    co_await sleepFor(LossCheckAfter);
     while (isCoordinating(term) && !coordinator_->areRostersClosed(clock_.now())) {
         Result<VersionedObject> object = co_await platform_.read(objectName("loss"));
         if (object && isCoordinating(term)) {
@@ -193,7 +193,7 @@
                 coordinator_->onLossConfirmed(confirmed.assume_value(), clock_.now());
             }
         }
-        co_await pauseFor(WatchRetry);
+        co_await sleepFor(WatchRetry);
     }
 }
 
--- a/src/duty/control_duty.h
+++ b/src/duty/control_duty.h
@@ -6,7 +6,7 @@
 #include "decision/ownership/coordinator.h"
 #include "decision/ownership/member.h"
 #include "duty/duty_message.h"
-#include "duty/node_signals.h"
+#include "duty/node_telemetry.h"
 #include "duty/operator_service.h"
 #include "port/clock.h"
 #include "port/platform_store.h"
@@ -37,7 +37,7 @@
     void beginDrain();
 
     /** Says hello with @p keys to other nodes. @pre Called before start(). */
-    void introduceWith(FleetKeys keys) { peers_.introduceWith(std::move(keys)); }
+    void authenticateWith(FleetKeys keys) { peers_.authenticateWith(std::move(keys)); }
 
     /** Answers another member's renewal (bytes in, bytes out). */
     asio::awaitable<std::string> onRenew(std::string body);
--- a/src/duty/gate_duty.cpp
+++ b/src/duty/gate_duty.cpp
@@ -95,8 +95,8 @@
     }
     client_ = std::make_shared<HttpClient>(context_.get_executor(), backend.ip, backend.port);
     slots_.onBackend(backend.slots);
-    const auto warm = [client = client_]() { return client->warm(WarmConnections); };
-    asio::co_spawn(context_, warm, asio::detached);
+    const auto preconnect = [client = client_]() { return client->preconnect(WarmConnections); };
+    asio::co_spawn(context_, preconnect, asio::detached);
 }
 
 RequestEnd GateDuty::checkAdmission(const v1::HopRequest &request, Call &call,
@@ -173,7 +173,7 @@
 {
     const RequestEnd refusal = checkAdmission(request, call, reply);
     if (refusal != RequestEnd::None) {
-        fillVerdict(reply, RequestStage::Received, refusal);
+        fillOutcome(reply, RequestStage::Received, refusal);
         co_return;
     }
     if (!call.keepsRunning) {
@@ -196,7 +196,7 @@
         return true;
     }
     if (decision.step != DeduplicationStep::Replay) {
-        fillVerdict(reply, RequestStage::Received, endOf(decision.step));
+        fillOutcome(reply, RequestStage::Received, endOf(decision.step));
         return false;
     }
     reply.ParseFromString(decision.answer);
@@ -222,10 +222,10 @@
 
 asio::awaitable<void> GateDuty::run(const v1::HopRequest &request, Call &call, v1::HopReply &reply)
 {
-    const TimePoint patienceUntil = clock_.now() + milliseconds(request.patience_left_ms());
-    const RequestEnd waited = co_await slots_.acquire(call.waiter, call.deadline, patienceUntil);
+    const TimePoint queueDeadline = clock_.now() + milliseconds(request.patience_left_ms());
+    const RequestEnd waited = co_await slots_.acquire(call.waiter, call.deadline, queueDeadline);
     if (waited != RequestEnd::None) {
-        fillVerdict(reply, RequestStage::Queued, waited);
+        fillOutcome(reply, RequestStage::Queued, waited);
         co_return;
     }
     // A check made before a wait or a pause is worthless after it, so lease and owner are read
@@ -234,7 +234,7 @@
     const RequestEnd refusal = checkAdmission(request, call, reply);
     if (refusal != RequestEnd::None) {
         slots_.release(false);
-        fillVerdict(reply, RequestStage::Queued, refusal);
+        fillOutcome(reply, RequestStage::Queued, refusal);
         co_return;
     }
     if (request.keyed()) {
@@ -282,10 +282,10 @@
     slots_.release(shed);
     if (!answer) {
         const RequestStage stage = neverSent ? RequestStage::Queued : call.control->stage();
-        fillVerdict(reply, stage,
+        fillOutcome(reply, stage,
                     endOfExchange(answer.assume_error().code, call.control->isCancelled()));
     } else if (shed) {
-        fillVerdict(reply, RequestStage::Answered, RequestEnd::BackendRefused);
+        fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
     } else {
         fillAnswer(reply, std::move(answer.assume_value()), request.method() == "HEAD");
     }
--- a/src/duty/gate_message.cpp
+++ b/src/duty/gate_message.cpp
@@ -31,9 +31,9 @@
     return forwarded;
 }
 
-void fillVerdict(v1::HopReply &reply, RequestStage stage, RequestEnd end)
+void fillOutcome(v1::HopReply &reply, RequestStage stage, RequestEnd end)
 {
-    const Verdict verdict = decideOutcome(stage, end);
+    const OutcomeDecision verdict = decideOutcome(stage, end);
     reply.set_outcome(verdict.outcome == Outcome::NotRun ? v1::HOP_OUTCOME_NOT_RUN
                                                          : v1::HOP_OUTCOME_UNKNOWN);
     reply.set_status(verdict.status);
@@ -45,7 +45,7 @@
 {
     reply.set_outcome(v1::HOP_OUTCOME_DONE);
     reply.set_status(response.result_int());
-    for (const PassedField &field : passedFields(response)) {
+    for (const ForwardedField &field : forwardableFields(response)) {
         v1::HeaderField *header = reply.add_headers();
         header->set_name(field.name);
         header->set_value(field.value);
@@ -95,15 +95,15 @@
 {
     switch (step) {
     case DeduplicationStep::InProgress:
-        return RequestEnd::KeyInProgress;
+        return RequestEnd::IdempotencyKeyInProgress;
     case DeduplicationStep::Reused:
-        return RequestEnd::KeyReused;
+        return RequestEnd::IdempotencyKeyReused;
     case DeduplicationStep::OutcomeUnknown:
-        return RequestEnd::KeyLost;
+        return RequestEnd::IdempotencyOutcomeUnknown;
     case DeduplicationStep::OlderThanEpoch:
-        return RequestEnd::KeyTooOld;
+        return RequestEnd::IdempotencyKeyTooOld;
     case DeduplicationStep::TableFull:
-        return RequestEnd::KeyTableFull;
+        return RequestEnd::DeduplicationTableFull;
     case DeduplicationStep::Run:
     case DeduplicationStep::Replay:
         break;
--- a/src/duty/gate_message.h
+++ b/src/duty/gate_message.h
@@ -24,7 +24,7 @@
 HttpRequest makeBackendRequest(const v1::HopRequest &request, const BackendGrant &grant);
 
 /** Fills @p reply with what may be said of a request that ended at @p stage by @p end. */
-void fillVerdict(v1::HopReply &reply, RequestStage stage, RequestEnd end);
+void fillOutcome(v1::HopReply &reply, RequestStage stage, RequestEnd end);
 
 /** Fills @p reply with the whole answer of the backend server. */
 void fillAnswer(v1::HopReply &reply, HttpResponse response, bool headOnly);
--- a/src/duty/ingress_duty.cpp
+++ b/src/duty/ingress_duty.cpp
@@ -22,15 +22,15 @@
 {
     switch (code) {
     case FailureCode::Overloaded:
-        return makeVerdictReply(RequestStage::Received, RequestEnd::Overloaded);
+        return makeOutcomeReply(RequestStage::Received, RequestEnd::Overloaded);
     case FailureCode::Unavailable:
-        return makeVerdictReply(RequestStage::Received, RequestEnd::Unreachable);
+        return makeOutcomeReply(RequestStage::Received, RequestEnd::Unreachable);
     case FailureCode::DeadlineExceeded:
-        return makeVerdictReply(RequestStage::HandedOver, RequestEnd::DeadlineOver);
+        return makeOutcomeReply(RequestStage::Sent, RequestEnd::DeadlineOver);
     case FailureCode::Malformed:
-        return makeVerdictReply(RequestStage::HandedOver, RequestEnd::BadAnswer);
+        return makeOutcomeReply(RequestStage::Sent, RequestEnd::BadAnswer);
     default:
-        return makeVerdictReply(RequestStage::HandedOver, RequestEnd::ConnectionLost);
+        return makeOutcomeReply(RequestStage::Sent, RequestEnd::ConnectionLost);
     }
 }
 
@@ -42,11 +42,11 @@
       routing_(std::make_shared<RoutingSnapshot>()), retries_(retries),
       random_(std::random_device{}())
 {
-    const auto handler = [this](HttpRequest request, std::shared_ptr<CallerWatch> caller) {
+    const auto handler = [this](HttpRequest request, std::shared_ptr<DisconnectSignal> caller) {
         return serve(std::move(request), std::move(caller));
     };
     server_ = std::make_shared<HttpServer>(context, ip, port, HttpLimits{},
-                                           WatchedHttpHandler(handler));
+                                           CancellableHttpHandler(handler));
 }
 
 void IngressDuty::start()
@@ -71,21 +71,21 @@
 }
 
 asio::awaitable<HttpResponse> IngressDuty::serve(HttpRequest request,
-                                                 std::shared_ptr<CallerWatch> caller)
+                                                 std::shared_ptr<DisconnectSignal> caller)
 {
-    if (signals_ == nullptr) {
+    if (telemetry_ == nullptr) {
         co_return co_await onRequest(std::move(request), std::move(caller));
     }
     const TimePoint startedAt = clock_.now();
-    Span span = signals_->startIngressSpan(request);
+    Span span = telemetry_->startIngressSpan(request);
     HttpResponse response = co_await onRequest(std::move(request), std::move(caller));
-    signals_->ingress().connections.set(static_cast<double>(server_->openConnections()));
-    signals_->onAnswer(response, startedAt, std::move(span));
+    telemetry_->ingress().connections.set(static_cast<double>(server_->openConnections()));
+    telemetry_->onAnswer(response, startedAt, std::move(span));
     co_return response;
 }
 
 asio::awaitable<HttpResponse> IngressDuty::onRequest(HttpRequest request,
-                                                     std::shared_ptr<CallerWatch> caller)
+                                                     std::shared_ptr<DisconnectSignal> caller)
 {
     const RoutingSnapshotPtr routing = routing_;
     RequestHead head;
@@ -109,9 +109,9 @@
         co_return makeProblemResponse(problem);
     }
     const ResolvedRequest &resolved = result.assume_value();
-    const CallerTerms terms = readTerms(request, *resolved.rule);
+    const CallerTerms terms = readMetadata(request, *resolved.rule);
     if (terms.refusal != RequestEnd::None) {
-        co_return makeCallerResponse(makeVerdictReply(RequestStage::Received, terms.refusal),
+        co_return makeCallerResponse(makeOutcomeReply(RequestStage::Received, terms.refusal),
                                      *routing);
     }
     auto current = std::make_shared<Try>();
@@ -119,7 +119,7 @@
     current->routing = routing;
     current->caller = std::move(caller);
     current->deadline = clock_.now() + terms.deadline;
-    current->patienceUntil = clock_.now() + resolved.rule->patience;
+    current->queueDeadline = clock_.now() + resolved.rule->queueTimeout;
     current->idempotent = resolved.rule->repetition == Repetition::Idempotent;
     if (resolved.service->misrouted == Misrouted::Redirect && resolved.rule->keyed) {
         const NodeId owner = chooseTarget(*current);
@@ -129,16 +129,16 @@
         }
     }
     v1::HopReply reply = co_await runWithRetries(current);
-    current->caller->onGone(nullptr);
-    if (signals_ != nullptr) {
-        signals_->onOutcome(reply);
+    current->caller->onDisconnect(nullptr);
+    if (telemetry_ != nullptr) {
+        telemetry_->onOutcome(reply);
     }
     co_return makeCallerResponse(std::move(reply), *current->routing);
 }
 
 asio::awaitable<v1::HopReply> IngressDuty::runWithRetries(std::shared_ptr<Try> current)
 {
-    current->caller->onGone(
+    current->caller->onDisconnect(
             [this, current]() { asio::co_spawn(context_, sendCancel(current), asio::detached); });
     while (true) {
         v1::HopReply reply = co_await attempt(*current);
@@ -149,15 +149,15 @@
         }
         current->mayHaveRun |= outcomeOf(reply) == Outcome::Unknown;
         const RetryDecision decision = decide(*current, reply);
-        if (!decision.retry || current->caller->isGone()) {
+        if (!decision.retry || current->caller->isDisconnected()) {
             // A later try's refusal says nothing about an earlier one that may have run.
             if (current->mayHaveRun && outcomeOf(reply) == Outcome::NotRun) {
-                reply = makeVerdictReply(RequestStage::HandedOver, RequestEnd::ConnectionLost);
+                reply = makeOutcomeReply(RequestStage::Sent, RequestEnd::ConnectionLost);
             }
             co_return reply;
         }
-        if (signals_ != nullptr) {
-            signals_->ingress().retries.add();
+        if (telemetry_ != nullptr) {
+            telemetry_->ingress().retries.add();
         }
         co_await pauseBeforeRetry(*current, decision.pause);
         current->routing = routing_;
@@ -173,7 +173,7 @@
         return {};
     }
     const TimePoint now = clock_.now();
-    FailedTry failed;
+    FailedAttempt failed;
     failed.outcome = outcomeOf(reply);
     failed.idempotent = current.idempotent;
     failed.attempt = current.hop.attempt();
@@ -188,7 +188,8 @@
     const TimePoint until = clock_.now() + pause;
     asio::steady_timer timer(context_);
     // Newer routing names the present owner; there is no reason to wait on.
-    while (clock_.now() < until && routing_ == current.routing && !current.caller->isGone()) {
+    while (clock_.now() < until && routing_ == current.routing
+           && !current.caller->isDisconnected()) {
         timer.expires_after(std::min<Duration>(RoutingPoll, until - clock_.now()));
         beast::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -235,13 +236,13 @@
     current.target = chooseTarget(current);
     const MemberInfo *member = current.routing->findMember(current.target);
     if (member == nullptr) {
-        co_return makeVerdictReply(RequestStage::Received, RequestEnd::NoLease);
+        co_return makeOutcomeReply(RequestStage::Received, RequestEnd::NoLease);
     }
     const auto deadlineLeft = std::chrono::duration_cast<milliseconds>(current.deadline - now);
     if (deadlineLeft.count() <= 0) {
-        co_return makeVerdictReply(RequestStage::Received, RequestEnd::DeadlineOver);
+        co_return makeOutcomeReply(RequestStage::Received, RequestEnd::DeadlineOver);
     }
-    const auto patienceLeft = std::chrono::duration_cast<milliseconds>(current.patienceUntil - now);
+    const auto patienceLeft = std::chrono::duration_cast<milliseconds>(current.queueDeadline - now);
     current.hop.set_origin_node(self_.value());
     current.hop.set_request_id(++lastRequestId_);
     current.hop.set_deadline_left_ms(deadlineLeft.count());
@@ -284,14 +285,14 @@
 
 asio::awaitable<v1::HopReply> IngressDuty::forwardObserved(NodeAddress address, v1::HopRequest hop)
 {
-    if (signals_ == nullptr) {
+    if (telemetry_ == nullptr) {
         co_return co_await forward(std::move(address), std::move(hop));
     }
-    signals_->ingress().forwarded.add();
-    Span span = signals_->ingressTracer().startFromHop(SpanStep::Hop, hop);
+    telemetry_->ingress().forwarded.add();
+    Span span = telemetry_->ingressTracer().startFromHop(SpanStep::Hop, hop);
     v1::HopReply reply = co_await forward(std::move(address), std::move(hop));
-    signals_->ingressTracer().finish(std::move(span), hopOutcomeName(reply.outcome()),
-                                     reply.outcome() != v1::HOP_OUTCOME_DONE);
+    telemetry_->ingressTracer().finish(std::move(span), hopOutcomeName(reply.outcome()),
+                                       reply.outcome() != v1::HOP_OUTCOME_DONE);
     co_return reply;
 }
 
--- a/src/duty/ingress_duty.h
+++ b/src/duty/ingress_duty.h
@@ -9,7 +9,7 @@
 #include "decision/request/retry_policy.h"
 #include "duty/duty_message.h"
 #include "duty/ingress_message.h"
-#include "duty/node_signals.h"
+#include "duty/node_telemetry.h"
 #include "port/clock.h"
 
 #include <random>
@@ -29,10 +29,10 @@
     void stop();
 
     /** Says hello with @p keys to other nodes. @pre Called before start(). */
-    void introduceWith(FleetKeys keys) { peers_.introduceWith(std::move(keys)); }
+    void authenticateWith(FleetKeys keys) { peers_.authenticateWith(std::move(keys)); }
 
     /** Sets where requests are counted and traced. @pre Called before start(). */
-    void observeWith(NodeSignals &signals) { signals_ = &signals; }
+    void observeWith(NodeTelemetry &telemetry) { telemetry_ = &telemetry; }
     uint16_t port() const { return server_->port(); }
 
     /** @return Requests that callers wait for; readable from any thread. */
@@ -46,17 +46,18 @@
     struct Try {
         v1::HopRequest hop;
         RoutingSnapshotPtr routing;
-        std::shared_ptr<CallerWatch> caller;
+        std::shared_ptr<DisconnectSignal> caller;
         TimePoint deadline;
-        TimePoint patienceUntil;
+        TimePoint queueDeadline;
         bool idempotent = false;
         bool mayHaveRun = false; ///< An earlier try ended as unknown.
         NodeId target;           ///< Of the present try.
     };
 
-    asio::awaitable<HttpResponse> serve(HttpRequest request, std::shared_ptr<CallerWatch> caller);
+    asio::awaitable<HttpResponse> serve(HttpRequest request,
+                                        std::shared_ptr<DisconnectSignal> caller);
     asio::awaitable<HttpResponse> onRequest(HttpRequest request,
-                                            std::shared_ptr<CallerWatch> caller);
+                                            std::shared_ptr<DisconnectSignal> caller);
     asio::awaitable<v1::HopReply> runWithRetries(std::shared_ptr<Try> current);
     asio::awaitable<v1::HopReply> attempt(Try &current);
     asio::awaitable<v1::HopReply> callLocal(v1::HopRequest hop);
@@ -83,7 +84,7 @@
     OutlierDetector outliers_{OutlierLimits{}};
     std::mt19937_64 random_;
     uint64_t lastRequestId_ = 0;
-    NodeSignals *signals_ = nullptr; ///< Null: nothing is counted or traced.
+    NodeTelemetry *telemetry_ = nullptr; ///< Null: nothing is counted or traced.
 };
 
 } // namespace wisteriahoist
--- a/src/duty/ingress_message.cpp
+++ b/src/duty/ingress_message.cpp
@@ -52,7 +52,7 @@
 
 } // namespace
 
-CallerTerms readTerms(const HttpRequest &request, const RouteRule &rule)
+CallerTerms readMetadata(const HttpRequest &request, const RouteRule &rule)
 {
     CallerTerms terms;
     terms.deadline = readDeadline(request, rule.deadline);
@@ -61,13 +61,13 @@
         return terms;
     }
     if (keys == 0) {
-        terms.refusal
-                = rule.missingKey == MissingKey::Refuse ? RequestEnd::KeyMissing : RequestEnd::None;
+        terms.refusal = rule.missingKey == MissingKey::Refuse ? RequestEnd::IdempotencyKeyMissing
+                                                              : RequestEnd::None;
         return terms;
     }
     terms.idempotency = parseIdempotencyHeader(std::string_view(request[KeyField]));
     if (keys > 1 || !terms.idempotency) {
-        terms.refusal = RequestEnd::KeyMalformed;
+        terms.refusal = RequestEnd::IdempotencyKeyMalformed;
     }
     return terms;
 }
@@ -90,7 +90,7 @@
         hop.set_has_idempotency_age(terms.idempotency->age.has_value());
         hop.set_idempotency_age_ms(terms.idempotency->age.value_or(milliseconds(0)).count());
     }
-    for (const PassedField &field : passedFields(request)) {
+    for (const ForwardedField &field : forwardableFields(request)) {
         v1::HeaderField *header = hop.add_headers();
         header->set_name(field.name);
         header->set_value(field.value);
@@ -99,9 +99,9 @@
     return hop;
 }
 
-v1::HopReply makeVerdictReply(RequestStage stage, RequestEnd end)
+v1::HopReply makeOutcomeReply(RequestStage stage, RequestEnd end)
 {
-    const Verdict verdict = decideOutcome(stage, end);
+    const OutcomeDecision verdict = decideOutcome(stage, end);
     v1::HopReply reply;
     reply.set_outcome(verdict.outcome == Outcome::NotRun ? v1::HOP_OUTCOME_NOT_RUN
                                                          : v1::HOP_OUTCOME_UNKNOWN);
--- a/src/duty/ingress_message.h
+++ b/src/duty/ingress_message.h
@@ -21,14 +21,14 @@
 };
 
 /** Reads the deadline and the idempotency key that the caller set, within @p rule. */
-CallerTerms readTerms(const HttpRequest &request, const RouteRule &rule);
+CallerTerms readMetadata(const HttpRequest &request, const RouteRule &rule);
 
 /** @return The request as it goes to the owner; ids and times are set for each try. */
 v1::HopRequest makeHop(const HttpRequest &request, const ResolvedRequest &resolved,
                        const CallerTerms &terms);
 
 /** @return A reply that says what may be said of a request that ended here. */
-v1::HopReply makeVerdictReply(RequestStage stage, RequestEnd end);
+v1::HopReply makeOutcomeReply(RequestStage stage, RequestEnd end);
 
 /** @return The answer to the caller for @p reply: outcome by status, header and body. */
 HttpResponse makeCallerResponse(v1::HopReply reply, const RoutingSnapshot &routing);
--- a/src/duty/member_publisher.cpp
+++ b/src/duty/member_publisher.cpp
@@ -2,7 +2,7 @@
 
 #include "duty/member_publisher.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/codec/record_codec.h"
 #include "adapter/log/event_log.h"
 #include "duty/fleet_view.h"
@@ -49,7 +49,7 @@
         if (published_ && member == stored_) {
             co_await waitFor(LookEvery);
         } else if (!co_await publish(member)) {
-            co_await pauseFor(RetryPause);
+            co_await sleepFor(RetryPause);
         }
     }
 }
--- a/src/duty/member_publisher.h
+++ b/src/duty/member_publisher.h
@@ -24,7 +24,7 @@
     void start();
 
     /** @param action Gets the record that an earlier life of this node has left. */
-    void onEarlier(std::function<void(const MemberRecord &)> action)
+    void onPreviousRecord(std::function<void(const MemberRecord &)> action)
     {
         earlier_ = std::move(action);
     }
--- a/src/duty/node_signals.cpp
+++ b/src/duty/node_telemetry.cpp
@@ -1,6 +1,6 @@
-/** @file node_signals.cpp The metrics and the health of one node. */
+/** @file node_telemetry.cpp The metrics and the health of one node. */
 
-#include "duty/node_signals.h"
+#include "duty/node_telemetry.h"
 
 #include "adapter/http2/transport_bytes.h"
 #include "adapter/random/mt_random_source.h"
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr milliseconds LoopTurnInterval{1000}; ///< A third of LoopTurnBound.
+constexpr milliseconds LoopTurnInterval{1000}; ///< A third of LoopStallTimeout.
 
 double toSeconds(Duration duration)
 {
@@ -86,11 +86,12 @@
 }
 
 IngressMetrics::IngressMetrics(MetricRegistry &registry)
-    : requests(registry.addLabelled("wisteriahoist_requests_total",
-                                    "Callers' requests answered by this node, by outcome.",
-                                    "outcome")),
-      notRun(registry.addLabelled("wisteriahoist_requests_not_run_total",
-                                  "Callers' requests that were not run, by reason.", "reason")),
+    : requests(registry.addLabelledCounter("wisteriahoist_requests_total",
+                                           "Callers' requests answered by this node, by outcome.",
+                                           "outcome")),
+      notRun(registry.addLabelledCounter("wisteriahoist_requests_not_run_total",
+                                         "Callers' requests that were not run, by reason.",
+                                         "reason")),
       duration(registry.addDistribution("wisteriahoist_request_duration_seconds",
                                         "Time from a caller's whole request to its answer.")),
       forwarded(registry.addCounter("wisteriahoist_requests_forwarded_total",
@@ -102,10 +103,11 @@
 { }
 
 GateMetrics::GateMetrics(MetricRegistry &registry)
-    : requests(registry.addLabelled("wisteriahoist_gate_requests_total",
-                                    "Requests that the owner gate ended, by outcome.", "outcome")),
-      notRun(registry.addLabelled("wisteriahoist_gate_not_run_total",
-                                  "Requests that the gate refused, by reason.", "reason")),
+    : requests(registry.addLabelledCounter("wisteriahoist_gate_requests_total",
+                                           "Requests that the owner gate ended, by outcome.",
+                                           "outcome")),
+      notRun(registry.addLabelledCounter("wisteriahoist_gate_not_run_total",
+                                         "Requests that the gate refused, by reason.", "reason")),
       hops(registry.addCounter("wisteriahoist_gate_hops_total",
                                "Requests that reached the gate from other nodes.")),
       duration(registry.addDistribution(
@@ -138,7 +140,7 @@
                                 "Time in which this node was assigned ranges but held no lease."))
 { }
 
-NodeSignals::NodeSignals(const Clock &clock, NodeId self, const TraceSettings &trace)
+NodeTelemetry::NodeTelemetry(const Clock &clock, NodeId self, const TraceSettings &trace)
     : clock_(clock), self_(self), ingress_(registry_), gate_(registry_), ownership_(registry_),
       platform_(registry_), trace_(registry_),
       ingressTracer_(clock, std::make_unique<MtRandomSource>(), trace, trace_.dropped),
@@ -167,7 +169,7 @@
             .set(1);
 }
 
-void NodeSignals::watchLoop(std::string_view duty, boost::asio::io_context &context)
+void NodeTelemetry::watchLoop(std::string_view duty, boost::asio::io_context &context)
 {
     WatchedLoop &loop = loops_.emplace_back();
     loop.duty = duty;
@@ -175,8 +177,8 @@
     boost::asio::co_spawn(context, turnLoop(context, loop), boost::asio::detached);
 }
 
-boost::asio::awaitable<void> NodeSignals::turnLoop(boost::asio::io_context &context,
-                                                   WatchedLoop &loop)
+boost::asio::awaitable<void> NodeTelemetry::turnLoop(boost::asio::io_context &context,
+                                                     WatchedLoop &loop)
 {
     boost::asio::steady_timer timer(context);
     boost::system::error_code ignored;
@@ -187,8 +189,8 @@
     }
 }
 
-void NodeSignals::addRing(const std::string &ring, std::function<double()> depth,
-                          std::function<double()> refused)
+void NodeTelemetry::addRing(const std::string &ring, std::function<double()> depth,
+                            std::function<double()> refused)
 {
     registry_.addComputed(
             {"wisteriahoist_ring_depth", "Calls under way between two duties.", MetricKind::Gauge},
@@ -199,7 +201,7 @@
                           [refused = std::move(refused)](TimePoint) { return refused(); });
 }
 
-void NodeSignals::onGrant(const GateGrant &grant)
+void NodeTelemetry::onGrant(const GateGrant &grant)
 {
     const TimePoint now = clock_.now();
     // The lease lapsed between two grants if the older one ended before this one came.
@@ -215,7 +217,7 @@
     ownedRanges_ = ownership_.ownedRanges.value() > 0;
 }
 
-void NodeSignals::onRouting(const RoutingSnapshot &routing)
+void NodeTelemetry::onRouting(const RoutingSnapshot &routing)
 {
     ownership_.configVersion.set(static_cast<double>(routing.declarations.version));
     ownership_.members.set(static_cast<double>(routing.members.size()));
@@ -236,7 +238,7 @@
     previousAssignment_ = routing.assignmentVersion;
 }
 
-Span NodeSignals::startIngressSpan(HttpRequest &request)
+Span NodeTelemetry::startIngressSpan(HttpRequest &request)
 {
     const boost::beast::string_view name(TraceparentHeader.data(), TraceparentHeader.size());
     const auto header = request[name];
@@ -246,7 +248,7 @@
     return span;
 }
 
-void NodeSignals::onAnswer(const HttpResponse &response, TimePoint startedAt, Span span)
+void NodeTelemetry::onAnswer(const HttpResponse &response, TimePoint startedAt, Span span)
 {
     const TimePoint now = clock_.now();
     ingress_.duration.observe(toSeconds(now - startedAt), now);
@@ -258,14 +260,14 @@
     ingressTracer_.finish(std::move(span), outcome, outcome != "done");
 }
 
-void NodeSignals::onOutcome(const v1::HopReply &reply)
+void NodeTelemetry::onOutcome(const v1::HopReply &reply)
 {
     if (reply.outcome() == v1::HOP_OUTCOME_NOT_RUN) {
         ingress_.notRun.add(reply.reason());
     }
 }
 
-void NodeSignals::onGateReply(const v1::HopReply &reply, TimePoint startedAt)
+void NodeTelemetry::onGateReply(const v1::HopReply &reply, TimePoint startedAt)
 {
     const TimePoint now = clock_.now();
     gate_.duration.observe(toSeconds(now - startedAt), now);
@@ -275,7 +277,7 @@
     }
 }
 
-HttpResponse NodeSignals::metricsPage() const
+HttpResponse NodeTelemetry::metricsPage() const
 {
     HttpResponse response(http::status::ok, 11);
     response.set(http::field::content_type, "text/plain; version=0.0.4; charset=utf-8");
@@ -283,20 +285,20 @@
     return response;
 }
 
-HttpResponse NodeSignals::healthPage() const
+HttpResponse NodeTelemetry::healthPage() const
 {
-    std::vector<LoopTurn> turns;
+    std::vector<LoopActivity> turns;
     for (const WatchedLoop &loop : loops_) {
         turns.push_back({loop.duty, TimePoint(Duration(loop.turnedAt.load()))});
     }
     boost::json::array stuck;
-    for (const std::string_view duty : findStuckDuties(turns, clock_.now())) {
+    for (const std::string_view duty : findStalledLoops(turns, clock_.now())) {
         stuck.emplace_back(duty);
     }
     return makeStatePage("alive", "stuck", stuck);
 }
 
-ReadinessInput NodeSignals::readiness() const
+ReadinessInput NodeTelemetry::readiness() const
 {
     ReadinessInput input;
     input.leaseUntil = TimePoint(Duration(leaseUntil_.load(std::memory_order_relaxed)));
@@ -306,7 +308,7 @@
     return input;
 }
 
-HttpResponse NodeSignals::readyPage() const
+HttpResponse NodeTelemetry::readyPage() const
 {
     boost::json::array reasons;
     for (const NotReadyReason reason : findNotReadyReasons(readiness(), clock_.now())) {
--- a/src/duty/node_signals.h
+++ b/src/duty/node_telemetry.h
@@ -1,10 +1,10 @@
-/** @file node_signals.h The metrics and the health of one node, fed by its duties. */
+/** @file node_telemetry.h The metrics and the health of one node, fed by its duties. */
 
 #pragma once
 
 #include "adapter/http/http_type.h"
+#include "adapter/metrics/metered_platform_store.h"
 #include "adapter/metrics/metric_registry.h"
-#include "adapter/metrics/platform_meter.h"
 #include "decision/health/health_decision.h"
 #include "duty/duty_message.h"
 #include "duty/trace_duty.h"
@@ -61,11 +61,11 @@
  * Owned by the program; duties get a reference. The admin duty reads it. Nothing here takes a
  * lock: the values are atomics with one writer each.
  */
-class NodeSignals
+class NodeTelemetry
 {
 public:
     /** @param trace Share of the requests that are traced, and whether spans are kept at all. */
-    NodeSignals(const Clock &clock, NodeId self, const TraceSettings &trace);
+    NodeTelemetry(const Clock &clock, NodeId self, const TraceSettings &trace);
 
     /** Watches the event loop of @p duty: a timer on it records each turn. */
     void watchLoop(std::string_view duty, boost::asio::io_context &context);
--- a/src/duty/range_duty.cpp
+++ b/src/duty/range_controller.cpp
@@ -1,7 +1,7 @@
-/** @file range_duty.cpp Keeps the keys of the backend server beside this node: lease, orders, and
- * which ranges begin to move. */
+/** @file range_controller.cpp Keeps the keys of the backend server beside this node: lease, orders,
+ * and which ranges begin to move. */
 
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 
 #include "adapter/log/event_log.h"
 
@@ -39,68 +39,69 @@
     return std::to_string(holder.node.value()) + "/" + holder.backend.text();
 }
 
-RangeDuty::RangeDuty(const RangeDutyPorts &ports, FleetView &view, BackendMonitor &monitor,
-                     PeerLoads &loads, const MemberRecord &self, GrantTimes grants)
+RangeController::RangeController(const RangeDutyPorts &ports, FleetView &view,
+                                 BackendMonitor &monitor, PeerLoads &loads,
+                                 const MemberRecord &self, GrantTimes grants)
     : context_(ports.context), clock_(ports.clock), timers_(ports.timers),
       randomSource_(ports.random), store_(ports.store), backend_(ports.backend),
       peers_(ports.peers), view_(view), monitor_(monitor), loads_(loads), self_(self),
-      session_(drawLife(ports.random)),
-      keeper_(grants, RangeKeeper::lapseOf(grants, grants.hold, ports.clock.now())),
-      contact_(ports.context, ports.clock, ports.random, ports.peers, view, loads, authority_,
-               self.node, self.failureDomain),
+      session_(generateIncarnation(ports.random)),
+      keeper_(grants, GrantManager::lapseOf(grants, grants.hold, ports.clock.now())),
+      witnessContact_(ports.context, ports.clock, ports.random, ports.peers, view, loads,
+                      authority_, self.node, self.failureDomain),
       random_(ports.random.next()), wakeTimer_(ports.timers.make())
 {
     peers_.serve(std::string(RangeNewsPath),
                  [this](std::string body) { return onTold(std::move(body)); });
 }
 
-void RangeDuty::start()
+void RangeController::start()
 {
     startedAt_ = clock_.now();
     const auto loop = [this]() { return tickLoop(); };
     asio::co_spawn(context_, loop, asio::detached);
 }
 
-void RangeDuty::wake()
+void RangeController::wake()
 {
     wakeTimer_->wake();
 }
 
-void RangeDuty::halt()
+void RangeController::halt()
 {
     halted_ = true;
     wake();
 }
 
-void RangeDuty::beginStop()
+void RangeController::beginStop()
 {
     stopping_ = true;
     wake();
 }
 
-const ServiceConfig *RangeDuty::service() const
+const ServiceConfig *RangeController::service() const
 {
     return view_.routes().findService(self_.service);
 }
 
-bool RangeDuty::isSharded() const
+bool RangeController::isSharded() const
 {
     return service() != nullptr && service()->sharded;
 }
 
-bool RangeDuty::isStoreNear(TimePoint now) const
+bool RangeController::isStoreNear(TimePoint now) const
 {
     return now - authority_.renewedAt() < StoreNear;
 }
 
-bool RangeDuty::hasKeysToGive(TimePoint now) const
+bool RangeController::hasTransferableKeys(TimePoint now) const
 {
     const StoredTable *stored = view_.findTable(self_.service);
     return stored != nullptr && isStoreNear(now) && countKeys(stored->table, self_.node) > 0
            && !candidates(now, false).empty();
 }
 
-std::optional<RangeHolder> RangeDuty::holder() const
+std::optional<RangeHolder> RangeController::holder() const
 {
     if (monitor_.backend().empty()) {
         return std::nullopt;
@@ -112,7 +113,7 @@
     return RangeHolder{self_.node, session_, monitor_.backend()};
 }
 
-RequestEnd RangeDuty::check(ShardKey key, TimePoint now) const
+RequestEnd RangeController::check(ShardKey key, TimePoint now) const
 {
     const TimePoint until = authority_.validUntil();
     if (keeper_.admits(key, until, now)) {
@@ -123,7 +124,7 @@
     return moving ? RequestEnd::NotOwner : RequestEnd::NoLease;
 }
 
-std::optional<KeyOwner> RangeDuty::ownerOf(ShardKey key) const
+std::optional<KeyOwner> RangeController::ownerOf(ShardKey key) const
 {
     const StoredTable *stored = view_.findTable(self_.service);
     const RangeEntry *entry = stored == nullptr ? nullptr : stored->table.find(key);
@@ -133,18 +134,18 @@
     return KeyOwner{entry->holder.node, entry->fence};
 }
 
-void RangeDuty::onWork(ShardKey key, Duration busy, TimePoint now)
+void RangeController::recordBusyTime(ShardKey key, Duration busy, TimePoint now)
 {
     load_.record(key, busy, now);
 }
 
-bool RangeDuty::isUnreachable(NodeId node, TimePoint now) const
+bool RangeController::isUnreachable(NodeId node, TimePoint now) const
 {
     const TimePoint since = loads_.unreachableSince(node);
     return since != NeverTime && now - since >= SuspectAfter;
 }
 
-std::vector<RangeCandidate> RangeDuty::candidates(TimePoint now, bool withSelf) const
+std::vector<RangeCandidate> RangeController::candidates(TimePoint now, bool withSelf) const
 {
     std::vector<RangeCandidate> found;
     const StoredTable *stored = view_.findTable(self_.service);
@@ -174,7 +175,7 @@
     return found;
 }
 
-const MemberRecord *RangeDuty::firstOfService(TimePoint now) const
+const MemberRecord *RangeController::firstOfService(TimePoint now) const
 {
     for (const MemberRecord *member : view_.readyMembers(self_.service)) {
         if (member->node == self_.node || !isUnreachable(member->node, now)) {
@@ -184,7 +185,7 @@
     return nullptr;
 }
 
-asio::awaitable<void> RangeDuty::tickLoop()
+asio::awaitable<void> RangeController::tickLoop()
 {
     while (!halted_) {
         const TimePoint now = clock_.now();
@@ -201,20 +202,21 @@
             sendOrders(now);
             releaseHeldAnswer(now);
         }
-        leftOutLines_.tellDropped(now);
-        givenOnLines_.tellDropped(now);
-        offeredLines_.tellDropped(now);
+        leftOutLines_.logDropped(now);
+        givenOnLines_.logDropped(now);
+        offeredLines_.logDropped(now);
         co_await wakeTimer_->wait(sharded ? Tick : IdleTick);
     }
 }
 
-void RangeDuty::sendOrders(TimePoint now)
+void RangeController::sendOrders(TimePoint now)
 {
     const auto spawn = [this](asio::awaitable<void> work) {
         asio::co_spawn(context_, std::move(work), asio::detached);
     };
     // Without keys, a backend server that has crashed for good needs no lease.
-    const bool inUse = keeper_.size() > 0 || (holder().has_value() && !monitor_.isRefusing());
+    const bool inUse
+            = keeper_.size() > 0 || (holder().has_value() && !monitor_.refusesConnections());
     authority_.lease().onFleetSize(view_.members().size());
     if (authority_.needsRenewal(now)) {
         authority_.lease().retryNow();
@@ -225,7 +227,7 @@
     }
     if (inUse) {
         const Incarnation life = session_;
-        contact_.sendHeartbeats(
+        witnessContact_.sendHeartbeats(
                 life, [this, life]() { return session_ == life; }, [this]() { lostLease(); }, now);
     }
     if (!writing_) {
@@ -239,12 +241,12 @@
     }
     // One that refuses connections may have crashed, and its next life must not be granted the old
     // one's fences; if it lives, more orders would take the connections that it lacks.
-    if (grantsByHeartbeat() || monitor_.isRefusing()) {
+    if (grantsByHeartbeat() || monitor_.refusesConnections()) {
         return;
     }
     std::vector<HeldKeys> granted;
     milliseconds hold{0};
-    for (GrantOrder &order : keeper_.takeDueGrants(authority_.validUntil(), now)) {
+    for (GrantRequest &order : keeper_.takeDueGrants(authority_.validUntil(), now)) {
         if (!order.renews) {
             granted.push_back({order.span, order.fence});
             hold = order.hold;
@@ -252,61 +254,61 @@
         spawn(sendGrant(std::move(order)));
     }
     logGranted(granted, hold, {}, now);
-    for (const ReleaseOrder &order : keeper_.takeDueReleases(now)) {
+    for (const ReleaseRequest &order : keeper_.takeDueReleases(now)) {
         spawn(sendRelease(order));
     }
 }
 
-asio::awaitable<void> RangeDuty::sendGrant(GrantOrder order)
+asio::awaitable<void> RangeController::sendGrant(GrantRequest order)
 {
-    const OrderAnswer answer = co_await backend_.grant(order, GrantTimeout);
+    const ControlReply answer = co_await backend_.grant(order, GrantTimeout);
     keeper_.onGrantEnd(order, answer.result);
-    if (answer.result == OrderResult::Accepted || answer.result == OrderResult::HigherFence) {
+    if (answer.result == ControlResult::Accepted || answer.result == ControlResult::StaleFence) {
         noteMonitorChange(monitor_.onAnswer(clock_.now()));
     }
-    if (answer.result == OrderResult::HigherFence) {
+    if (answer.result == ControlResult::StaleFence) {
         logEvent(LogEvent::GrantRefused, {{"first", order.span.first.value()},
                                           {"last", order.span.last.value()},
                                           {"fence", order.fence.value()}});
     }
-    if (answer.result == OrderResult::NotSent) {
+    if (answer.result == ControlResult::NotSent) {
         noteMonitorChange(monitor_.onRefusedConnection());
     }
     wake();
 }
 
 /** Gate and member record follow at once, as when a request finds the change out. */
-void RangeDuty::noteMonitorChange(bool changed)
+void RangeController::noteMonitorChange(bool changed)
 {
     if (changed && monitorChanged_) {
         monitorChanged_();
     }
 }
 
-asio::awaitable<void> RangeDuty::sendRelease(ReleaseOrder order)
+asio::awaitable<void> RangeController::sendRelease(ReleaseRequest order)
 {
-    const OrderAnswer answer = co_await backend_.release(order, ReleaseTimeout);
+    const ControlReply answer = co_await backend_.release(order, ReleaseTimeout);
     keeper_.onReleaseEnd(order, answer.result, answer.handover, clock_.now());
     wake();
 }
 
-void RangeDuty::lostLease()
+void RangeController::lostLease()
 {
     const auto left = std::chrono::duration_cast<milliseconds>(keeper_.lastLapse() - clock_.now());
     logEvent(LogEvent::LeaseLost, {{"session", session_.value()},
                                    {"own_grants_run_ms", std::max<int64_t>(0, left.count())}});
     authority_.onRevoked();
-    session_ = drawLife(randomSource_);
+    session_ = generateIncarnation(randomSource_);
 }
 
-asio::awaitable<void> RangeDuty::renewLease()
+asio::awaitable<void> RangeController::renewLease()
 {
     const TimePoint sentAt = clock_.now();
     LeaseRecord lease;
     lease.node = self_.node;
     lease.life = session_;
     lease.renewal = ++renewals_;
-    const std::set<NodeId> witnesses = contact_.chooseWitnesses(sentAt);
+    const std::set<NodeId> witnesses = witnessContact_.chooseWitnesses(sentAt);
     lease.witnesses.assign(witnesses.begin(), witnesses.end());
     authority_.onRenewalSent(witnesses);
     const bool wasValid = authority_.validUntil() > sentAt;
@@ -345,7 +347,7 @@
     wake();
 }
 
-void RangeDuty::startLeaving(TimePoint now)
+void RangeController::startLeaving(TimePoint now)
 {
     const bool lost = monitor_.state() == BackendState::Down
                       && now - monitor_.heardAt() >= SignOfLifeWithin;
@@ -366,7 +368,7 @@
     }
 }
 
-void RangeDuty::startBalancing(TimePoint now)
+void RangeController::startBalancing(TimePoint now)
 {
     const std::vector<KeySpan> held = keeper_.heldSpans();
     BalanceLimits limits;
@@ -411,7 +413,7 @@
     }
 }
 
-void RangeDuty::beginMove(const RangeMove &move, std::string_view cause, TimePoint now)
+void RangeController::beginMove(const RangeMove &move, std::string_view cause, TimePoint now)
 {
     targets_.push_back(move);
     keeper_.beginRelease(move.span);
--- a/src/duty/range_duty.h
+++ b/src/duty/range_controller.h
@@ -1,16 +1,17 @@
-/** @file range_duty.h Keeps the keys of the backend server beside this node: lease, grants, moves.
+/** @file range_controller.h Keeps the keys of the backend server beside this node: lease, grants,
+ * moves.
  */
 
 #pragma once
 
 #include "adapter/codec/record_codec.h"
-#include "adapter/log/bounded_event.h"
+#include "adapter/log/rate_limited_event.h"
 #include "decision/member/backend_monitor.h"
 #include "decision/range/range_planner.h"
 #include "duty/backend_gate.h"
-#include "duty/contact_duty.h"
 #include "duty/fleet_view.h"
 #include "duty/peer_loads.h"
+#include "duty/witness_contact.h"
 #include "port/backend_control.h"
 #include "port/wake_timer.h"
 
@@ -27,7 +28,7 @@
 struct RangeDutyPorts {
     asio::io_context &context;
     const Clock &clock;
-    WakeTimers &timers;
+    WakeTimerFactory &timers;
     RandomSource &random;
     RecordStore &store;
     BackendControl &backend;
@@ -47,7 +48,7 @@
  * of any other that is down, by their grants' end, and are not granted anew meanwhile. So a write
  * that is done late, after its answer was lost, is as safe as in time.
  */
-class RangeDuty final : public KeyHolding
+class RangeController final : public KeyOwnership
 {
 public:
     /** Where a node is told of ranges that it has just been given. */
@@ -55,8 +56,8 @@
     /** How often the other holders of the service are looked at. */
     static constexpr milliseconds WatchEvery{500};
 
-    RangeDuty(const RangeDutyPorts &ports, FleetView &view, BackendMonitor &monitor,
-              PeerLoads &loads, const MemberRecord &self, GrantTimes grants);
+    RangeController(const RangeDutyPorts &ports, FleetView &view, BackendMonitor &monitor,
+                    PeerLoads &loads, const MemberRecord &self, GrantTimes grants);
 
     void start();
 
@@ -72,11 +73,11 @@
     /** @param action Runs when an order shows that the backend server's state has changed. */
     void onMonitorChange(std::function<void()> action) { monitorChanged_ = std::move(action); }
 
-    void probeWith(PeerProbe probe) { probe_ = std::move(probe); }
+    void setPeerProbe(PeerProbe probe) { probe_ = std::move(probe); }
 
     RequestEnd check(ShardKey key, TimePoint now) const override;
     std::optional<KeyOwner> ownerOf(ShardKey key) const override;
-    void onWork(ShardKey key, Duration busy, TimePoint now) override;
+    void recordBusyTime(ShardKey key, Duration busy, TimePoint now) override;
     double demand(TimePoint now) override { return load_.total(now); }
     bool isLeaving() const override { return stopping_ || monitor_.state() != BackendState::Ready; }
 
@@ -91,14 +92,14 @@
      * @param atOnce The answer acknowledges something that somebody waits for.
      * @return What the answer grants; nothing: it leaves alone what is held.
      */
-    asio::awaitable<std::optional<HoldOrder>> answerReport(HoldReport report, bool atOnce,
-                                                           TimePoint receivedAt);
+    asio::awaitable<std::optional<GrantReply>> handleHeartbeat(HeldKeysReport report, bool atOnce,
+                                                               TimePoint receivedAt);
 
     /** @return The life under which this node holds keys; a new one after its lease was revoked. */
     Incarnation session() const { return session_; }
 
     /** @return Whether the table names this node for keys that another one could take. */
-    bool hasKeysToGive(TimePoint now) const;
+    bool hasTransferableKeys(TimePoint now) const;
 
 private:
     /** The heartbeat whose answer grants ranges; none where they are granted by calls. */
@@ -109,15 +110,15 @@
 
     /** A heartbeat whose answer is held back. */
     struct HeldAnswer {
-        const HoldReport *report = nullptr;
+        const HeldKeysReport *report = nullptr;
         WakeTimer *timer = nullptr;
     };
 
     const ServiceConfig *service() const;
     bool isSharded() const;
     bool hasRangesToAdopt() const;
-    bool hasHoldNews(const HoldReport &report, TimePoint now) const;
-    asio::awaitable<void> awaitHoldNews(const HoldReport &report, TimePoint receivedAt);
+    bool hasHoldNews(const HeldKeysReport &report, TimePoint now) const;
+    asio::awaitable<void> awaitHoldNews(const HeldKeysReport &report, TimePoint receivedAt);
     void releaseHeldAnswer(TimePoint now);
     bool isStoreNear(TimePoint now) const;
     std::optional<RangeHolder> holder() const;
@@ -127,8 +128,8 @@
 
     asio::awaitable<void> tickLoop();
     asio::awaitable<void> renewLease();
-    asio::awaitable<void> sendGrant(GrantOrder order);
-    asio::awaitable<void> sendRelease(ReleaseOrder order);
+    asio::awaitable<void> sendGrant(GrantRequest order);
+    asio::awaitable<void> sendRelease(ReleaseRequest order);
     asio::awaitable<void> planOnce();
     asio::awaitable<void> writeTable(RangeTable next, StoredTable stored);
     void tellHolders(const std::set<NodeId> &holders, const StoredRecord &written);
@@ -149,7 +150,7 @@
     RangeTable handReleasedOver(RangeTable table, TimePoint now);
     void logGivenOn(const ReleasedRange &released, const RangeHolder &target,
                     const RangeTable &table, TimePoint now);
-    void logOffered(const HoldReport &report, const HoldOrder &order, TimePoint receivedAt,
+    void logOffered(const HeldKeysReport &report, const GrantReply &order, TimePoint receivedAt,
                     TimePoint now);
     void logGranted(const std::vector<HeldKeys> &granted, milliseconds hold,
                     const AnsweredReport &answered, TimePoint now);
@@ -166,7 +167,7 @@
 
     asio::io_context &context_;
     const Clock &clock_;
-    WakeTimers &timers_;
+    WakeTimerFactory &timers_;
     RandomSource &randomSource_;
     RecordStore &store_;
     BackendControl &backend_;
@@ -176,9 +177,9 @@
     PeerLoads &loads_;
     MemberRecord self_;
     Incarnation session_; ///< Of the lease; a new one after the lease was revoked.
-    RangeKeeper keeper_;
-    GrantAuthority authority_{StoreLeaseTimes{}, ContactTimes{}};
-    ContactDuty contact_;
+    GrantManager keeper_;
+    GrantAuthority authority_{StoreLeaseTimes{}, WitnessTimes{}};
+    WitnessContact witnessContact_;
     StoreRevision leaseRevision_;
     uint64_t renewals_ = 0;
     KeyLoad load_;
@@ -199,10 +200,10 @@
     bool writing_ = false; ///< Invariant: at most one write of the table is on its way.
     bool renewing_ = false;
     std::optional<HeldAnswer> heldAnswer_; ///< Of the newest heartbeat, while it waits.
-    BoundedEvent leftOutLines_{LogEvent::RangesLeftOut, 1, 5}; ///< Told with each heartbeat.
+    RateLimitedEvent leftOutLines_{LogEvent::RangesLeftOut, 1, 5}; ///< Told with each heartbeat.
     /// A plan whose write failed is made again.
-    BoundedEvent givenOnLines_{LogEvent::RangeGivenOn, 20, 200};
-    BoundedEvent offeredLines_{LogEvent::RangesOffered, 20, 200};
+    RateLimitedEvent givenOnLines_{LogEvent::RangeGivenOn, 20, 200};
+    RateLimitedEvent offeredLines_{LogEvent::RangesOffered, 20, 200};
     uint64_t reports_ = 0; ///< Heartbeats so far; only the newest one is granted to.
     size_t checking_ = 0;  ///< Holders that are being looked at.
     /** A record of ranges whose write failed: not written again before its newest state is known.
--- a/src/duty/range_duty_heartbeat.cpp
+++ b/src/duty/range_controller_heartbeat.cpp
@@ -1,7 +1,8 @@
-/** @file range_duty_heartbeat.cpp What the answers to the backend server's heartbeats grant. */
+/** @file range_controller_heartbeat.cpp What the answers to the backend server's heartbeats grant.
+ */
 
 #include "adapter/log/event_log.h"
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 
 #include <algorithm>
 
@@ -24,13 +25,13 @@
 
 } // namespace
 
-bool RangeDuty::grantsByHeartbeat() const
+bool RangeController::grantsByHeartbeat() const
 {
-    return isSharded() && service()->grants == GrantForm::Heartbeat;
+    return isSharded() && service()->grants == GrantDelivery::Heartbeat;
 }
 
-asio::awaitable<std::optional<HoldOrder>> RangeDuty::answerReport(HoldReport report, bool atOnce,
-                                                                  TimePoint receivedAt)
+asio::awaitable<std::optional<GrantReply>>
+RangeController::handleHeartbeat(HeldKeysReport report, bool atOnce, TimePoint receivedAt)
 {
     // The heartbeat may be the first of another life, whose predecessor's grants are still listed.
     if (const StoredTable *stored = view_.findTable(self_.service)) {
@@ -51,7 +52,7 @@
         co_return std::nullopt;
     }
     const TimePoint now = clock_.now();
-    std::optional<HoldOrder> order = keeper_.takeHolds(receivedAt, authority_.validUntil(), now);
+    std::optional<GrantReply> order = keeper_.takeHolds(receivedAt, authority_.validUntil(), now);
     if (order && order->leftOut > 0 && leftOutLines_.tryTake(now)) {
         leftOutLines_.log({{"ranges", order->leftOut}, {"granted", order->rows.size()}});
     }
@@ -62,11 +63,11 @@
 }
 
 /** Only ranges that the heartbeat did not list: renewals would be a line for each heartbeat. */
-void RangeDuty::logOffered(const HoldReport &report, const HoldOrder &order, TimePoint receivedAt,
-                           TimePoint now)
+void RangeController::logOffered(const HeldKeysReport &report, const GrantReply &order,
+                                 TimePoint receivedAt, TimePoint now)
 {
     std::vector<HeldKeys> granted;
-    for (const OfferedKeys &row : order.rows) {
+    for (const GrantedKeys &row : order.rows) {
         const HeldKeys held{row.span, row.fence};
         if (std::find(report.holds.begin(), report.holds.end(), held) == report.holds.end()) {
             granted.push_back(held);
@@ -76,8 +77,8 @@
 }
 
 /** Every range is named, in as many lines as it takes: what is left out could not be traced. */
-void RangeDuty::logGranted(const std::vector<HeldKeys> &granted, milliseconds hold,
-                           const AnsweredReport &answered, TimePoint now)
+void RangeController::logGranted(const std::vector<HeldKeys> &granted, milliseconds hold,
+                                 const AnsweredReport &answered, TimePoint now)
 {
     const auto answerHeld = std::chrono::duration_cast<milliseconds>(answered.heldBackFor);
     const auto authority = std::chrono::duration_cast<milliseconds>(authority_.validUntil() - now);
@@ -104,7 +105,7 @@
  * one before. An answer that grants nothing then would make the backend server release all that it
  * holds, a moment before the node adopts just that.
  */
-bool RangeDuty::hasRangesToAdopt() const
+bool RangeController::hasRangesToAdopt() const
 {
     const StoredTable *stored = view_.findTable(self_.service);
     const std::optional<RangeHolder> self = holder();
@@ -117,12 +118,13 @@
                           });
 }
 
-bool RangeDuty::hasHoldNews(const HoldReport &report, TimePoint now) const
+bool RangeController::hasHoldNews(const HeldKeysReport &report, TimePoint now) const
 {
     return authority_.validUntil() > now && !keeper_.isAsReported(report);
 }
 
-asio::awaitable<void> RangeDuty::awaitHoldNews(const HoldReport &report, TimePoint receivedAt)
+asio::awaitable<void> RangeController::awaitHoldNews(const HeldKeysReport &report,
+                                                     TimePoint receivedAt)
 {
     const std::unique_ptr<WakeTimer> timer = timers_.make();
     const HeldAnswer held{&report, timer.get()};
@@ -133,7 +135,7 @@
     }
 }
 
-void RangeDuty::releaseHeldAnswer(TimePoint now)
+void RangeController::releaseHeldAnswer(TimePoint now)
 {
     if (heldAnswer_ && hasHoldNews(*heldAnswer_->report, now)) {
         heldAnswer_->timer->wake();
--- a/src/duty/range_duty_plan.cpp
+++ b/src/duty/range_controller_plan.cpp
@@ -1,8 +1,9 @@
-/** @file range_duty_plan.cpp Changes of the range table: who is to get which range, and the writes.
+/** @file range_controller_plan.cpp Changes of the range table: who is to get which range, and the
+ * writes.
  */
 
 #include "adapter/log/event_log.h"
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 #include "wisteriahoist/v1/control.pb.h"
 
 #include <algorithm>
@@ -52,7 +53,7 @@
 
 } // namespace
 
-RangeHolder RangeDuty::targetOf(const KeySpan &span, TimePoint now) const
+RangeHolder RangeController::targetOf(const KeySpan &span, TimePoint now) const
 {
     const std::vector<RangeCandidate> others = candidates(now, true);
     const auto isCandidate = [&others](const RangeHolder &holder) {
@@ -74,8 +75,8 @@
 }
 
 /** Times are relative to now, in milliseconds; what has never been is left out as -1. */
-void RangeDuty::logGivenOn(const ReleasedRange &released, const RangeHolder &target,
-                           const RangeTable &table, TimePoint now)
+void RangeController::logGivenOn(const ReleasedRange &released, const RangeHolder &target,
+                                 const RangeTable &table, TimePoint now)
 {
     if (!givenOnLines_.tryTake(now)) {
         return;
@@ -106,7 +107,7 @@
                        {"backend_state", static_cast<int64_t>(monitor_.state())}});
 }
 
-RangeTable RangeDuty::handReleasedOver(RangeTable table, TimePoint now)
+RangeTable RangeController::handReleasedOver(RangeTable table, TimePoint now)
 {
     for (const ReleasedRange &released : keeper_.releasedRanges(now)) {
         const RangeHolder target = targetOf(released.span, now);
@@ -118,7 +119,7 @@
     return table;
 }
 
-bool RangeDuty::isFreeForAll(const RangeHolder &holder) const
+bool RangeController::isFreeForAll(const RangeHolder &holder) const
 {
     if (holder.isNobody()) {
         return true;
@@ -127,7 +128,7 @@
     return revoked != revoked_.end() && revoked->second.count(holder.life) > 0;
 }
 
-RangeTable RangeDuty::giveFreeRanges(RangeTable table, TimePoint now)
+RangeTable RangeController::giveFreeRanges(RangeTable table, TimePoint now)
 {
     std::vector<KeySpan> spans;
     for (size_t index = 0; index < table.entries.size(); ++index) {
@@ -146,8 +147,8 @@
     return table;
 }
 
-void RangeDuty::logChange(std::string_view cause, const RangeTable &before, const RangeTable &after,
-                          TimePoint now) const
+void RangeController::logChange(std::string_view cause, const RangeTable &before,
+                                const RangeTable &after, TimePoint now) const
 {
     if (after == before) {
         return;
@@ -164,7 +165,7 @@
 }
 
 /** Looked at on each turn, when there mostly is nothing; a plan copies the table several times. */
-bool RangeDuty::hasTableWork(const StoredTable &stored, TimePoint now) const
+bool RangeController::hasTableWork(const StoredTable &stored, TimePoint now) const
 {
     const std::vector<RangeEntry> &entries = stored.table.entries;
     const std::optional<RangeHolder> self = holder();
@@ -182,7 +183,7 @@
                           [this](const RangeEntry &entry) { return isFreeForAll(entry.holder); });
 }
 
-std::optional<RangeTable> RangeDuty::planTable(const StoredTable &stored, TimePoint now)
+std::optional<RangeTable> RangeController::planTable(const StoredTable &stored, TimePoint now)
 {
     if (!hasTableWork(stored, now)) {
         return std::nullopt;
@@ -209,7 +210,7 @@
     return next;
 }
 
-asio::awaitable<void> RangeDuty::planOnce()
+asio::awaitable<void> RangeController::planOnce()
 {
     if (!unread_.empty()) {
         co_await refreshTable();
@@ -232,7 +233,7 @@
     writing_ = false;
 }
 
-asio::awaitable<void> RangeDuty::createTable()
+asio::awaitable<void> RangeController::createTable()
 {
     const TimePoint now = clock_.now();
     const MemberRecord *first = firstOfService(now);
@@ -252,7 +253,7 @@
     (void)co_await writeRecord(self_.service, std::move(record), StoreRevision(0));
 }
 
-asio::awaitable<void> RangeDuty::writeTable(RangeTable next, StoredTable stored)
+asio::awaitable<void> RangeController::writeTable(RangeTable next, StoredTable stored)
 {
     const BlockLayout layout = stored.layout;
     const std::optional<RangeHolder> planned = holder();
@@ -287,8 +288,8 @@
     }
 }
 
-asio::awaitable<bool> RangeDuty::writeRecord(std::string name, RangeRecord record,
-                                             StoreRevision over)
+asio::awaitable<bool> RangeController::writeRecord(std::string name, RangeRecord record,
+                                                   StoreRevision over)
 {
     const std::string content = encodeRangeRecord(record);
     Result<StoreRevision> written = co_await store_.write(RecordKind::Ranges, name, over, content);
@@ -322,7 +323,7 @@
  * Nobody serves a range between its change of hands and the moment at which its new holder hears of
  * it. In a large fleet the watches gather changes for a good part of a second.
  */
-void RangeDuty::tellHolders(const std::set<NodeId> &holders, const StoredRecord &written)
+void RangeController::tellHolders(const std::set<NodeId> &holders, const StoredRecord &written)
 {
     if (holders.size() > MostTold) {
         return;
@@ -344,7 +345,7 @@
     }
 }
 
-asio::awaitable<std::string> RangeDuty::onTold(std::string body)
+asio::awaitable<std::string> RangeController::onTold(std::string body)
 {
     v1::StoreRecord news;
     if (news.ParseFromString(body) && news.revision() != 0) {
@@ -353,7 +354,7 @@
     co_return std::string();
 }
 
-StoreRevision RangeDuty::knownRevision(const std::string &name) const
+StoreRevision RangeController::knownRevision(const std::string &name) const
 {
     const StoredTable *stored = view_.findTable(self_.service);
     if (stored == nullptr) {
@@ -367,7 +368,7 @@
     return name == self_.service ? stored->revision : StoreRevision(0);
 }
 
-asio::awaitable<void> RangeDuty::refreshTable()
+asio::awaitable<void> RangeController::refreshTable()
 {
     std::erase_if(unread_, [this, now = clock_.now()](const auto &entry) {
         return now >= entry.second.writeAt && knownRevision(entry.first) > entry.second.over;
--- a/src/duty/range_duty_takeover.cpp
+++ b/src/duty/range_controller_takeover.cpp
@@ -1,7 +1,8 @@
-/** @file range_duty_takeover.cpp Lost holders: who is asked, fenced and revoked before keys move.
+/** @file range_controller_takeover.cpp Lost holders: who is asked, fenced and revoked before keys
+ * move.
  */
 
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 
 #include "adapter/log/event_log.h"
 
@@ -19,7 +20,7 @@
 
 } // namespace
 
-void RangeDuty::watchOthers()
+void RangeController::watchOthers()
 {
     const MemberRecord *first = firstOfService(clock_.now());
     const StoredTable *stored = view_.findTable(self_.service);
@@ -46,7 +47,7 @@
     }
 }
 
-void RangeDuty::probeQuiet(TimePoint now)
+void RangeController::probeQuiet(TimePoint now)
 {
     std::vector<MemberRecord> quiet;
     for (const MemberRecord *member : view_.readyMembers(self_.service)) {
@@ -63,7 +64,7 @@
     }
 }
 
-asio::awaitable<void> RangeDuty::checkHolder(NodeId node)
+asio::awaitable<void> RangeController::checkHolder(NodeId node)
 {
     const MemberRecord *member = view_.findMember(node);
     if (member != nullptr) {
@@ -99,18 +100,18 @@
     }
 }
 
-asio::awaitable<bool> RangeDuty::fenceAtWitnesses(NodeId node, const LeaseRecord &lease)
+asio::awaitable<bool> RangeController::fenceAtWitnesses(NodeId node, const LeaseRecord &lease)
 {
     const auto known = takeovers_.find(node);
     const bool same = known != takeovers_.end() && known->second.life() == lease.life
                       && known->second.witnesses() == lease.witnesses;
     if (!same) {
-        takeovers_.insert_or_assign(node, Takeover(ContactTimes{}, lease.life, lease.witnesses));
+        takeovers_.insert_or_assign(node, Takeover(WitnessTimes{}, lease.life, lease.witnesses));
     }
     // Every witness is asked each time: what counts at the end is that all fences stand, after the
     // lease was read whose revision the revocation is bound to.
     for (const NodeId witness : lease.witnesses) {
-        const FenceAnswer answer = co_await contact_.fence(witness, node, lease.life);
+        const FenceReply answer = co_await witnessContact_.fence(witness, node, lease.life);
         const auto takeover = takeovers_.find(node);
         if (answer.result != FenceResult::Fenced || takeover == takeovers_.end()) {
             takeovers_.erase(node);
@@ -122,8 +123,8 @@
     co_return takeover != takeovers_.end() && takeover->second.isDue(clock_.now());
 }
 
-asio::awaitable<void> RangeDuty::revoke(NodeId node, StoreRevision revision,
-                                        std::string_view evidence)
+asio::awaitable<void> RangeController::revoke(NodeId node, StoreRevision revision,
+                                              std::string_view evidence)
 {
     std::set<Incarnation> lives;
     const StoredTable *stored = view_.findTable(self_.service);
--- a/src/duty/request_router.cpp
+++ b/src/duty/request_router.cpp
@@ -84,7 +84,7 @@
 }
 
 asio::awaitable<HttpResponse> RequestRouter::onRequest(HttpRequest request,
-                                                       std::shared_ptr<CallerWatch> caller)
+                                                       std::shared_ptr<DisconnectSignal> caller)
 {
     ++counters_.requests;
     const std::shared_ptr<const RouteTable> routes = view_.routesPtr();
@@ -98,7 +98,7 @@
     if (route == nullptr) {
         co_return refuse(http::status::not_found, "no-route", "No route matches.", milliseconds(0));
     }
-    const Result<RequestTerms> terms = protocol_.readTerms(request);
+    const Result<RequestMetadata> terms = protocol_.readMetadata(request);
     if (!terms) {
         co_return refuse(http::status::bad_request, "malformed-request",
                          terms.assume_error().context, milliseconds(0));
@@ -112,20 +112,19 @@
     }
     if (!admit(*work)) {
         co_return makeAnswer(*work,
-                             makeVerdictReply(RequestStage::Received, RequestEnd::Overloaded));
+                             makeOutcomeReply(RequestStage::Received, RequestEnd::Overloaded));
     }
     ++open_;
     v1::HopReply reply = co_await runAttempts(work);
     --open_;
-    work->caller->onGone(nullptr);
+    work->caller->onDisconnect(nullptr);
     learnRoom(*work, reply);
     co_return makeAnswer(*work, std::move(reply));
 }
 
-std::shared_ptr<RequestRouter::Work> RequestRouter::makeWork(const HttpRequest &request,
-                                                             const RequestTerms &terms,
-                                                             const Route &route,
-                                                             std::shared_ptr<CallerWatch> caller)
+std::shared_ptr<RequestRouter::Work>
+RequestRouter::makeWork(const HttpRequest &request, const RequestMetadata &terms,
+                        const Route &route, std::shared_ptr<DisconnectSignal> caller)
 {
     const TimePoint now = clock_.now();
     auto work = std::make_shared<Work>();
@@ -145,7 +144,7 @@
     hop.set_route(route.name);
     hop.set_priority(route.priority);
     hop.set_caller_service(settings_.service);
-    for (const PassedField &field : passedFields(request)) {
+    for (const ForwardedField &field : forwardableFields(request)) {
         v1::HeaderField *header = hop.add_headers();
         header->set_name(field.name);
         header->set_value(field.value);
@@ -160,14 +159,14 @@
         hop.set_keyed(true);
         hop.set_shard_key(terms.shardKey->value());
     }
-    budgets_.try_emplace(hop.service(), settings_.repeats).first->second.onRequest(now);
+    budgets_.try_emplace(hop.service(), settings_.retries).first->second.onRequest(now);
     return work;
 }
 
 asio::awaitable<v1::HopReply> RequestRouter::runAttempts(std::shared_ptr<Work> work)
 {
-    work->caller->onGone([this, work]() {
-        ++counters_.callersGone;
+    work->caller->onDisconnect([this, work]() {
+        ++counters_.callersDisconnected;
         const auto cancel = [this, target = work->target, id = work->hop.request_id()]() {
             return sendCancel(target, id);
         };
@@ -187,7 +186,7 @@
         }
         const bool hasOwner = end.routingMayChange && learnOwner(*work, reply);
         AttemptStep step = decideNextAttempt(end, work->history, AttemptLimits{});
-        if (work->caller->isGone()) {
+        if (work->caller->isDisconnected()) {
             step = AttemptStep::Finish;
         }
         if (step == AttemptStep::RepeatAnother && !takeRepeat(*work, now)) {
@@ -212,7 +211,7 @@
     case FinalAnswer::EarlierAnswer:
         return std::move(work.earlierAnswer);
     case FinalAnswer::Unknown:
-        return makeVerdictReply(RequestStage::HandedOver, RequestEnd::ConnectionLost);
+        return makeOutcomeReply(RequestStage::Sent, RequestEnd::ConnectionLost);
     case FinalAnswer::LastEnd:
         break;
     }
@@ -258,10 +257,10 @@
 
 bool RequestRouter::takeRepeat(const Work &work, TimePoint now)
 {
-    RepeatBudget &budget
-            = budgets_.try_emplace(work.hop.service(), settings_.repeats).first->second;
+    FleetRetryBudget &budget
+            = budgets_.try_emplace(work.hop.service(), settings_.retries).first->second;
     const bool taken = budget.tryTake(view_.members().size(), now);
-    counters_.repeats += taken ? 1 : 0;
+    counters_.retries += taken ? 1 : 0;
     return taken;
 }
 
@@ -363,17 +362,17 @@
     ++work->history.asked;
     const MemberRecord *member = view_.findMember(work->target);
     if (member == nullptr) {
-        co_return makeVerdictReply(RequestStage::Received, RequestEnd::NoBackend);
+        co_return makeOutcomeReply(RequestStage::Received, RequestEnd::NoBackend);
     }
     work->asked.insert(work->target);
     if (gate_.mayOutlive(work->deadline, now)) {
         // Its caller's connection would be cut with this process while the request runs elsewhere.
-        co_return makeVerdictReply(RequestStage::Received, RequestEnd::NoBackend);
+        co_return makeOutcomeReply(RequestStage::Received, RequestEnd::NoBackend);
     }
     if (loads_.isShunned(work->target, now)) {
         // Its keys are served again when the node is back or its lease has been taken away, in
         // seconds: whoever waits here for a connection that cannot come is refused later instead.
-        v1::HopReply reply = makeVerdictReply(RequestStage::Received, RequestEnd::NoLease);
+        v1::HopReply reply = makeOutcomeReply(RequestStage::Received, RequestEnd::NoLease);
         reply.set_retry_after_ms(RetryLost.count());
         co_return reply;
     }
@@ -404,12 +403,12 @@
     if (!bytes) {
         const FailureCode code = bytes.assume_error().code;
         const bool neverSent = code == FailureCode::Unavailable;
-        reply = neverSent ? makeVerdictReply(RequestStage::Received, RequestEnd::Unreachable)
-                          : makeVerdictReply(RequestStage::HandedOver, endOfExchange(code, false));
+        reply = neverSent ? makeOutcomeReply(RequestStage::Received, RequestEnd::Unreachable)
+                          : makeOutcomeReply(RequestStage::Sent, endOfExchange(code, false));
         reply.set_reached_backend(!neverSent);
     } else if (!reply.ParseFromString(bytes.assume_value())
                || reply.outcome() == v1::HOP_OUTCOME_UNSPECIFIED) {
-        reply = makeVerdictReply(RequestStage::HandedOver, RequestEnd::BadAnswer);
+        reply = makeOutcomeReply(RequestStage::Sent, RequestEnd::BadAnswer);
         reply.set_reached_backend(true);
     }
     const TimePoint now = clock_.now();
@@ -435,7 +434,7 @@
     if (news_ == nullptr) {
         return;
     }
-    RecordNews known = news_->news();
+    KnownRevisions known = news_->news();
     reply.mutable_news()->set_configuration(known[RecordKind::Configuration].value());
     reply.mutable_news()->set_members(known[RecordKind::Members].value());
     reply.mutable_news()->set_ranges(known[RecordKind::Ranges].value());
@@ -447,10 +446,10 @@
         return;
     }
     const v1::StoreNews &told = reply.news();
-    news_->onPeerNews({{RecordKind::Configuration, StoreRevision(told.configuration())},
-                       {RecordKind::Members, StoreRevision(told.members())},
-                       {RecordKind::Ranges, StoreRevision(told.ranges())}},
-                      now);
+    news_->onPeerRevisions({{RecordKind::Configuration, StoreRevision(told.configuration())},
+                            {RecordKind::Members, StoreRevision(told.members())},
+                            {RecordKind::Ranges, StoreRevision(told.ranges())}},
+                           now);
 }
 
 asio::awaitable<std::string> RequestRouter::onProbe()
@@ -466,7 +465,7 @@
     v1::HopReply reply;
     v1::HopRequest hop;
     if (!hop.ParseFromString(body)) {
-        reply = makeVerdictReply(RequestStage::Received, RequestEnd::BadAnswer);
+        reply = makeOutcomeReply(RequestStage::Received, RequestEnd::BadAnswer);
     } else if (hop.cancel()) {
         gate_.cancel(hop.origin_node(), hop.request_id());
     } else {
@@ -525,10 +524,10 @@
     return response;
 }
 
-void RequestRouter::setRepeats(const FleetBudget &repeats)
+void RequestRouter::setRetryLimits(const FleetRetryLimits &retries)
 {
-    if (!(repeats == settings_.repeats)) {
-        settings_.repeats = repeats;
+    if (!(retries == settings_.retries)) {
+        settings_.retries = retries;
         budgets_.clear();
     }
 }
--- a/src/duty/request_router.h
+++ b/src/duty/request_router.h
@@ -4,16 +4,16 @@
 
 #include "adapter/http/http_server.h"
 #include "adapter/http/request_protocol.h"
-#include "adapter/log/bounded_event.h"
+#include "adapter/log/rate_limited_event.h"
 #include "adapter/metrics/metric_type.h"
 #include "decision/request/adaptive_throttle.h"
 #include "decision/request/attempt_policy.h"
-#include "decision/request/repeat_budget.h"
+#include "decision/request/fleet_retry_budget.h"
 #include "duty/backend_gate.h"
 #include "duty/fleet_view.h"
 #include "duty/peer_link.h"
 #include "duty/peer_loads.h"
-#include "port/news_exchange.h"
+#include "port/revision_exchange.h"
 
 #include <list>
 #include <random>
@@ -26,7 +26,7 @@
     NodeId node;
     std::string failureDomain;
     std::string service;
-    FleetBudget repeats;
+    FleetRetryLimits retries;
 };
 
 /** What the router counts. */
@@ -36,8 +36,8 @@
     uint64_t notRun = 0;
     uint64_t unknown = 0;
     uint64_t forwarded = 0; ///< Attempts at other nodes.
-    uint64_t repeats = 0;   ///< Attempts that drew on the budget.
-    uint64_t callersGone = 0;
+    uint64_t retries = 0;   ///< Attempts that drew on the budget.
+    uint64_t callersDisconnected = 0;
     uint64_t throttled = 0; ///< Refused without asking any node for room.
 };
 
@@ -53,7 +53,7 @@
                   RouterSettings settings);
 
     asio::awaitable<HttpResponse> onRequest(HttpRequest request,
-                                            std::shared_ptr<CallerWatch> caller);
+                                            std::shared_ptr<DisconnectSignal> caller);
 
     /** @return Whether @p member answers at all. */
     asio::awaitable<bool> probe(MemberRecord member);
@@ -66,10 +66,10 @@
     void observeWith(Histogram &duration) { duration_ = &duration; }
 
     /** Each answer between nodes tells what the answering one has heard of the store. */
-    void exchangeNews(NewsExchange &news) { news_ = &news; }
+    void setRevisionExchange(RevisionExchange &news) { news_ = &news; }
 
     /** Takes over another budget; what was spent of the old one is forgotten. */
-    void setRepeats(const FleetBudget &repeats);
+    void setRetryLimits(const FleetRetryLimits &retries);
 
 private:
     /** One caller's request and its attempts. */
@@ -77,7 +77,7 @@
         std::shared_ptr<const RouteTable> routes; ///< Keeps route alive.
         const Route *route = nullptr;
         v1::HopRequest hop;
-        std::shared_ptr<CallerWatch> caller;
+        std::shared_ptr<DisconnectSignal> caller;
         AttemptHistory history;
         TimePoint startedAt;
         TimePoint deadline;
@@ -98,8 +98,8 @@
 
     HttpResponse refuse(http::status status, std::string_view type, const std::string &detail,
                         milliseconds retryAfter) const;
-    std::shared_ptr<Work> makeWork(const HttpRequest &request, const RequestTerms &terms,
-                                   const Route &route, std::shared_ptr<CallerWatch> caller);
+    std::shared_ptr<Work> makeWork(const HttpRequest &request, const RequestMetadata &terms,
+                                   const Route &route, std::shared_ptr<DisconnectSignal> caller);
     asio::awaitable<v1::HopReply> runAttempts(std::shared_ptr<Work> work);
     asio::awaitable<v1::HopReply> attempt(std::shared_ptr<Work> work);
     asio::awaitable<v1::HopReply> forward(MemberRecord member, const v1::HopRequest &hop);
@@ -135,16 +135,16 @@
     RouterSettings settings_;
     PeerLink &peers_;
     TargetPicker targets_;
-    std::map<std::string, RepeatBudget> budgets_; ///< By service.
-    std::map<std::string, RouteRoom> rooms_;      ///< By route, of one configuration.
-    uint64_t roomsVersion_ = 0;                   ///< Of that configuration.
+    std::map<std::string, FleetRetryBudget> budgets_; ///< By service.
+    std::map<std::string, RouteRoom> rooms_;          ///< By route, of one configuration.
+    uint64_t roomsVersion_ = 0;                       ///< Of that configuration.
     std::mt19937_64 random_;
     RouterCounters counters_;
     /// Lines of about 300 bytes: 60 KB/s at most. A node of the users' sites answers 30 to 60
     /// requests a second and stays below it.
-    BoundedEvent lines_{LogEvent::RequestEnded, 200, 400};
+    RateLimitedEvent lines_{LogEvent::RequestEnded, 200, 400};
     Histogram *duration_ = nullptr;
-    NewsExchange *news_ = nullptr;
+    RevisionExchange *news_ = nullptr;
     /** A request that waits until its key has another holder. */
     struct Waiter {
         const Work *work = nullptr;
--- a/src/duty/slot_queue.cpp
+++ b/src/duty/slot_queue.cpp
@@ -21,14 +21,14 @@
 { }
 
 asio::awaitable<RequestEnd> SlotQueue::acquire(std::shared_ptr<SlotWaiter> waiter,
-                                               TimePoint deadline, TimePoint patienceUntil)
+                                               TimePoint deadline, TimePoint queueDeadline)
 {
     if (queue_.size() == 0 && hasFreeSlot()) {
         ++running_;
         co_return RequestEnd::None;
     }
     const uint64_t id = ++lastId_;
-    if (!queue_.push({id, deadline, patienceUntil})) {
+    if (!queue_.push({id, deadline, queueDeadline})) {
         co_return RequestEnd::Overloaded;
     }
     waiters_[id] = waiter;
@@ -36,7 +36,7 @@
         waking_ = true;
         asio::co_spawn(context_, wakeLoop(), asio::detached);
     }
-    const Duration wait = std::min(deadline, patienceUntil) - clock_.now();
+    const Duration wait = std::min(deadline, queueDeadline) - clock_.now();
     waiter->timer.expires_after(std::max(wait, Duration(0)));
     boost::system::error_code ignored;
     co_await waiter->timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -48,7 +48,7 @@
     if (waiter->cancelled) {
         co_return RequestEnd::CallerGone;
     }
-    co_return deadline <= patienceUntil ? RequestEnd::DeadlineOver : RequestEnd::PatienceOver;
+    co_return deadline <= queueDeadline ? RequestEnd::DeadlineOver : RequestEnd::QueueTimeout;
 }
 
 void SlotQueue::release(bool shed)
--- a/src/duty/slot_queue.h
+++ b/src/duty/slot_queue.h
@@ -36,7 +36,7 @@
      * @return None with the slot taken, to be given back by release(); else why there is none.
      */
     boost::asio::awaitable<RequestEnd> acquire(std::shared_ptr<SlotWaiter> waiter,
-                                               TimePoint deadline, TimePoint patienceUntil);
+                                               TimePoint deadline, TimePoint queueDeadline);
 
     /** Gives a slot back. @param shed The backend server refused the request. */
     void release(bool shed);
--- a/src/duty/store_relay.cpp
+++ b/src/duty/store_relay.cpp
@@ -2,7 +2,7 @@
 
 #include "duty/store_relay.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/log/event_log.h"
 #include "wisteriahoist/v1/control.pb.h"
 
@@ -217,7 +217,7 @@
     // A watch would keep a call of the helper's waiting for each kind; listing now and then is
     // enough while the own way is closed.
     if (!isDirect()) {
-        co_await pauseFor(times_.watchPause);
+        co_await sleepFor(times_.watchPause);
         co_return Failure{FailureCode::Unavailable, "no watch through another node"};
     }
     Result<RecordChanges> changes = co_await direct_.watch(kind, since, wait);
--- a/src/duty/store_sync.cpp
+++ b/src/duty/store_sync.cpp
@@ -2,7 +2,7 @@
 
 #include "duty/store_sync.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/codec/record_codec.h"
 #include "adapter/log/event_log.h"
 
@@ -36,7 +36,7 @@
     }
 }
 
-void StoreSync::onPeerNews(const RecordNews &news, TimePoint now)
+void StoreSync::onPeerRevisions(const KnownRevisions &news, TimePoint now)
 {
     // In a large fleet calls of watches are short anyway; while the store is away the loop lists.
     if (lost_ || view_.members().size() >= times_.leastMembers) {
@@ -44,7 +44,7 @@
     }
     for (const auto &[kind, newest] : news) {
         const auto lag = lags_.find(kind);
-        const bool behind = lag != lags_.end() && lag->second.onPeerNews(newest, now);
+        const bool behind = lag != lags_.end() && lag->second.onPeerRevisions(newest, now);
         if (behind && catchingUp_.insert(kind).second) {
             logEvent(LogEvent::WatchSilent,
                      {{"kind", std::string(recordKindName(kind))}, {"missed", newest.value()}});
@@ -64,7 +64,7 @@
 asio::awaitable<void> StoreSync::catchUp(RecordKind kind)
 {
     (void)co_await list(kind); // A failure shows as well: the peers' news go on to be ahead.
-    co_await pauseFor(times_.longestPause);
+    co_await sleepFor(times_.longestPause);
     catchingUp_.erase(kind);
 }
 
@@ -83,7 +83,7 @@
             note(kind, nullptr);
             at = next.assume_value();
             pause = times_.firstPause;
-            co_await pauseFor(gapAfter(kind));
+            co_await sleepFor(gapAfter(kind));
             continue;
         }
         // A watch that was cut may have missed changes whose history is gone. The store says so
@@ -94,11 +94,11 @@
             continue;
         }
         note(kind, &failure);
-        co_await pauseFor(pause);
+        co_await sleepFor(pause);
         const auto members = static_cast<int64_t>(view_.members().size());
         pause = std::min(pause * 2, times_.longestPause + times_.pausePerMember * members);
         while (lost_ && kind != ProbingKind) {
-            co_await pauseFor(times_.firstPause);
+            co_await sleepFor(times_.firstPause);
         }
     }
 }
--- a/src/duty/store_sync.h
+++ b/src/duty/store_sync.h
@@ -3,8 +3,8 @@
 #pragma once
 
 #include "duty/fleet_view.h"
-#include "duty/news_lag.h"
-#include "port/news_exchange.h"
+#include "duty/watch_lag.h"
+#include "port/revision_exchange.h"
 
 #include <boost/asio/io_context.hpp>
 #include <set>
@@ -48,7 +48,7 @@
 
 /** One loop for each kind: list, then watch from the listed revision; after a failure list again.
  */
-class StoreSync final : public NewsExchange
+class StoreSync final : public RevisionExchange
 {
 public:
     StoreSync(boost::asio::io_context &context, RecordStore &store, FleetView &view,
@@ -59,8 +59,8 @@
     /** Takes over a record that the store told beside its watches. */
     void onRecord(RecordKind kind, const StoredRecord &record);
 
-    RecordNews news() const override { return newest_; }
-    void onPeerNews(const RecordNews &news, TimePoint now) override;
+    KnownRevisions news() const override { return newest_; }
+    void onPeerRevisions(const KnownRevisions &news, TimePoint now) override;
 
 private:
     boost::asio::awaitable<void> catchUp(RecordKind kind);
@@ -84,8 +84,8 @@
         milliseconds gap{0}; ///< After it.
     };
     std::map<RecordKind, Recent> recent_;
-    RecordNews newest_;
-    std::map<RecordKind, NewsLag> lags_;
+    KnownRevisions newest_;
+    std::map<RecordKind, WatchLag> lags_;
     std::set<RecordKind> catchingUp_; ///< Kinds that are listed beside their watch.
     bool lost_ = false;
 };
--- a/src/duty/trace_duty.cpp
+++ b/src/duty/trace_duty.cpp
@@ -32,7 +32,7 @@
 DutyTracer::DutyTracer(const Clock &clock, std::unique_ptr<RandomSource> random,
                        const TraceSettings &settings, Counter &dropped)
     : clock_(clock), recording_(settings.isEnabled()), random_(std::move(random)),
-      sampler_(*random_, recording_ ? settings.sampleShare : 0), ring_(dropped)
+      sampler_(*random_, recording_ ? settings.sampleRatio : 0), ring_(dropped)
 { }
 
 Span DutyTracer::start(SpanStep step, const TraceContext &parent, const std::string &service)
--- a/src/duty/news_lag.h
+++ b/src/duty/watch_lag.h
@@ -1,4 +1,4 @@
-/** @file news_lag.h Tells when a watch of the store has missed what another node has heard. */
+/** @file watch_lag.h Tells when a watch of the store has missed what another node has heard. */
 
 #pragma once
 
@@ -15,10 +15,10 @@
  * the holder that a key had then, and refused. Another node's news are proof of a change, and a
  * working watch hears of it within its gap, so a lag that lasts means that this one is dead.
  */
-class NewsLag
+class WatchLag
 {
 public:
-    explicit NewsLag(milliseconds allowance) : allowance_(allowance) { }
+    explicit WatchLag(milliseconds allowance) : allowance_(allowance) { }
 
     /** The own watch has heard of everything up to @p at. */
     void onPosition(StoreRevision at)
@@ -30,7 +30,7 @@
     }
 
     /** @return Whether the own watch has been behind for too long. */
-    bool onPeerNews(StoreRevision newest, TimePoint now)
+    bool onPeerRevisions(StoreRevision newest, TimePoint now)
     {
         if (newest <= position_) {
             return false;
--- a/src/duty/contact_duty.cpp
+++ b/src/duty/witness_contact.cpp
@@ -1,6 +1,6 @@
-/** @file contact_duty.cpp Heartbeats to witnesses, answers to others' heartbeats, fences. */
+/** @file witness_contact.cpp Heartbeats to witnesses, answers to others' heartbeats, fences. */
 
-#include "duty/contact_duty.h"
+#include "duty/witness_contact.h"
 
 #include "adapter/log/event_log.h"
 #include "core/hash_func.h"
@@ -28,18 +28,18 @@
 
 } // namespace
 
-Incarnation drawLife(RandomSource &random)
+Incarnation generateIncarnation(RandomSource &random)
 {
     constexpr unsigned Spare = 1; // Bits that a signed number of 64 bits has no room for.
     return Incarnation(random.next() >> Spare | 1U);
 }
 
-ContactDuty::ContactDuty(asio::io_context &context, const Clock &clock, RandomSource &random,
-                         PeerCalls &peers, FleetView &view, PeerLoads &loads,
-                         GrantAuthority &authority, NodeId self, std::string failureDomain)
+WitnessContact::WitnessContact(asio::io_context &context, const Clock &clock, RandomSource &random,
+                               PeerCalls &peers, FleetView &view, PeerLoads &loads,
+                               GrantAuthority &authority, NodeId self, std::string failureDomain)
     : context_(context), clock_(clock), peers_(peers), view_(view), loads_(loads),
       authority_(authority), self_(self), failureDomain_(std::move(failureDomain)),
-      deskLife_(drawLife(random))
+      deskLife_(generateIncarnation(random))
 {
     peers_.serve(std::string(HeartbeatPath),
                  [this](std::string body) { return onHeartbeat(std::move(body)); });
@@ -47,14 +47,14 @@
                  [this](std::string body) { return onFence(std::move(body)); });
 }
 
-bool ContactDuty::isUsable(const MemberRecord &member, TimePoint now) const
+bool WitnessContact::isUsable(const MemberRecord &member, TimePoint now) const
 {
     const TimePoint since = loads_.unreachableSince(member.node);
     return member.node != self_ && !member.stopping
            && (since == NeverTime || now - since < ReplaceAfter);
 }
 
-std::set<NodeId> ContactDuty::chooseWitnesses(TimePoint now)
+std::set<NodeId> WitnessContact::chooseWitnesses(TimePoint now)
 {
     std::erase_if(witnesses_, [&](NodeId node) {
         const MemberRecord *member = view_.findMember(node);
@@ -98,8 +98,8 @@
     return witnesses_;
 }
 
-void ContactDuty::sendHeartbeats(Incarnation life, std::function<bool()> isCurrent,
-                                 std::function<void()> fenced, TimePoint now)
+void WitnessContact::sendHeartbeats(Incarnation life, std::function<bool()> isCurrent,
+                                    std::function<void()> fenced, TimePoint now)
 {
     if (now - sentAt_ < times_.heartbeatEvery) {
         return;
@@ -113,9 +113,9 @@
     }
 }
 
-asio::awaitable<void> ContactDuty::sendHeartbeat(MemberRecord witness, Incarnation life,
-                                                 std::function<bool()> isCurrent,
-                                                 std::function<void()> fenced)
+asio::awaitable<void> WitnessContact::sendHeartbeat(MemberRecord witness, Incarnation life,
+                                                    std::function<bool()> isCurrent,
+                                                    std::function<void()> fenced)
 {
     const TimePoint sentAt = clock_.now();
     std::string body = encodeRequest(self_, life);
@@ -138,7 +138,7 @@
     }
 }
 
-asio::awaitable<std::string> ContactDuty::onHeartbeat(std::string body)
+asio::awaitable<std::string> WitnessContact::onHeartbeat(std::string body)
 {
     v1::ContactRequest request;
     v1::ContactReply reply;
@@ -150,7 +150,7 @@
     co_return reply.SerializeAsString();
 }
 
-asio::awaitable<std::string> ContactDuty::onFence(std::string body)
+asio::awaitable<std::string> WitnessContact::onFence(std::string body)
 {
     v1::ContactRequest request;
     v1::ContactReply reply;
@@ -165,9 +165,9 @@
     co_return reply.SerializeAsString();
 }
 
-asio::awaitable<FenceAnswer> ContactDuty::fence(NodeId witness, NodeId node, Incarnation life)
+asio::awaitable<FenceReply> WitnessContact::fence(NodeId witness, NodeId node, Incarnation life)
 {
-    FenceAnswer fence;
+    FenceReply fence;
     if (witness == self_) {
         fence.result = desk_.onFence(node, life, clock_.now()) ? FenceResult::Fenced
                                                                : FenceResult::StillInContact;
--- a/src/duty/contact_duty.h
+++ b/src/duty/witness_contact.h
@@ -1,4 +1,4 @@
-/** @file contact_duty.h Heartbeats to witnesses, answers to others' heartbeats, fences. */
+/** @file witness_contact.h Heartbeats to witnesses, answers to others' heartbeats, fences. */
 
 #pragma once
 
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 
 /** @return A number that names one life of a process, or one session of it; never 0. */
-Incarnation drawLife(RandomSource &random);
+Incarnation generateIncarnation(RandomSource &random);
 
 /** How a fence at one witness ended. */
 enum class FenceResult {
@@ -26,18 +26,18 @@
 };
 
 /** A fence with the life of the witness that made it. */
-struct FenceAnswer {
+struct FenceReply {
     FenceResult result = FenceResult::NoAnswer;
     Incarnation witnessLife;
 };
 
-/** Carries the messages of GrantAuthority, WitnessDesk and Takeover. Used by one thread. */
-class ContactDuty
+/** Carries the messages of GrantAuthority, HeartbeatWitness and Takeover. Used by one thread. */
+class WitnessContact
 {
 public:
-    ContactDuty(asio::io_context &context, const Clock &clock, RandomSource &random,
-                PeerCalls &peers, FleetView &view, PeerLoads &loads, GrantAuthority &authority,
-                NodeId self, std::string failureDomain);
+    WitnessContact(asio::io_context &context, const Clock &clock, RandomSource &random,
+                   PeerCalls &peers, FleetView &view, PeerLoads &loads, GrantAuthority &authority,
+                   NodeId self, std::string failureDomain);
 
     /**
      * Sends a heartbeat of @p life to each witness, if it is time.
@@ -51,7 +51,7 @@
     std::set<NodeId> chooseWitnesses(TimePoint now);
 
     /** Asks @p witness to fence @p life of @p node. */
-    asio::awaitable<FenceAnswer> fence(NodeId witness, NodeId node, Incarnation life);
+    asio::awaitable<FenceReply> fence(NodeId witness, NodeId node, Incarnation life);
 
 private:
     asio::awaitable<void> sendHeartbeat(MemberRecord witness, Incarnation life,
@@ -69,8 +69,8 @@
     GrantAuthority &authority_;
     NodeId self_;
     std::string failureDomain_;
-    ContactTimes times_;
-    WitnessDesk desk_{ContactTimes{}};
+    WitnessTimes times_;
+    HeartbeatWitness desk_{WitnessTimes{}};
     Incarnation deskLife_; ///< Of this process as a witness.
     std::set<NodeId> witnesses_;
     TimePoint sentAt_ = NeverTime;
--- a/src/port/backend_control.h
+++ b/src/port/backend_control.h
@@ -2,20 +2,20 @@
 
 #pragma once
 
-#include "decision/range/range_keeper.h"
+#include "decision/range/grant_manager.h"
 
 #include <boost/asio/awaitable.hpp>
 
 namespace wisteriahoist {
 
 /** How an order ended. */
-struct OrderAnswer {
-    OrderResult result = OrderResult::Unanswered;
+struct ControlReply {
+    ControlResult result = ControlResult::Unanswered;
     std::string handover; ///< Of a release.
 };
 
-/** What a look at the backend server showed. */
-struct BackendSight {
+/** What a pollOnce at the backend server showed. */
+struct BackendStatus {
     bool answered = false;
     bool healthy = false;
     bool refusedConnection = false;
@@ -28,12 +28,13 @@
 public:
     virtual ~BackendControl() = default;
 
-    virtual boost::asio::awaitable<OrderAnswer> grant(GrantOrder order, milliseconds timeout) = 0;
-    virtual boost::asio::awaitable<OrderAnswer> release(ReleaseOrder order, milliseconds timeout)
+    virtual boost::asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds timeout)
+            = 0;
+    virtual boost::asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds timeout)
             = 0;
 
     /** Asks for its state and life; takes a slot there for a moment. */
-    virtual boost::asio::awaitable<BackendSight> look(milliseconds timeout) = 0;
+    virtual boost::asio::awaitable<BackendStatus> pollOnce(milliseconds timeout) = 0;
 };
 
 } // namespace wisteriahoist
--- a/src/port/record_store.h
+++ b/src/port/record_store.h
@@ -125,10 +125,10 @@
             = 0;
 
     /** Told of the record that stands in the way of a refused write. */
-    using StandingListener = std::function<void(RecordKind, const StoredRecord &)>;
+    using ConflictListener = std::function<void(RecordKind, const StoredRecord &)>;
 
     /** @param listener Hears what a refused write's answer holds; a store may never tell it. */
-    virtual void onStanding(StandingListener) { }
+    virtual void onConflict(ConflictListener) { }
 
     /** Creates the record if @p expected is 0, else replaces that revision. */
     Pending<StoreRevision> write(RecordKind kind, std::string name, StoreRevision expected,
--- a/src/port/wake_timer.h
+++ b/src/port/wake_timer.h
@@ -23,10 +23,10 @@
 };
 
 /** Makes the timers of a duty, so that a test can run it on a simulated clock. */
-class WakeTimers
+class WakeTimerFactory
 {
 public:
-    virtual ~WakeTimers() = default;
+    virtual ~WakeTimerFactory() = default;
     virtual std::unique_ptr<WakeTimer> make() = 0;
 };
 
--- a/src/program/node_program.cpp
+++ b/src/program/node_program.cpp
@@ -34,7 +34,7 @@
 } // namespace
 
 NodeProgram::NodeProgram(const NodeSettings &settings)
-    : signals_(clock_, settings.id, settings.signals.trace),
+    : telemetry_(clock_, settings.id, settings.signals.trace),
       ingressToGate_(ingressThread_.context(), gateThread_.context(), RequestRing),
       peerToGate_(peerThread_.context(), gateThread_.context(), RequestRing),
       peerToControl_(peerThread_.context(), controlThread_.context(), ControlRing),
@@ -43,41 +43,41 @@
       controlToGate_(controlThread_.context(), gateThread_.context(), ControlRing),
       platform_(controlThread_.context().get_executor(), settings.platformIp, settings.platformPort,
                 settings.platformTimeout),
-      meteredPlatform_(platform_, signals_.platform()),
+      meteredPlatform_(platform_, telemetry_.platform()),
       gate_(gateThread_.context(), clock_, settings.id),
       ingress_(ingressThread_.context(), clock_, settings.id, settings.address.ip,
                settings.address.callerPort, ingressToGate_),
       peer_(peerThread_.context(), settings.address.ip, settings.address.peerPort, peerToGate_,
             peerToControl_),
       admin_(adminThread_.context(), settings.address.ip, settings.address.adminPort,
-             settings.fleetKeys, adminToControl_, signals_),
+             settings.fleetKeys, adminToControl_, telemetry_),
       address_{settings.address.ip, ingress_.port(), peer_.port(), admin_.port()}
 {
     control_ = std::make_unique<ControlDuty>(controlThread_.context(), clock_, meteredPlatform_,
                                              settings.times, makeSelf(settings, address_),
                                              settings.cell, controlToIngress_, controlToGate_);
-    control_->observeWith(signals_.ownership());
-    ingress_.observeWith(signals_);
+    control_->observeWith(telemetry_.ownership());
+    ingress_.observeWith(telemetry_);
     if (!settings.fleetKeys.empty()) {
         peer_.requireHello(settings.fleetKeys);
-        ingress_.introduceWith(settings.fleetKeys);
-        control_->introduceWith(settings.fleetKeys);
+        ingress_.authenticateWith(settings.fleetKeys);
+        control_->authenticateWith(settings.fleetKeys);
         watchRefusals("operator", admin_.refusals());
         watchRefusals("peer", *peer_.refusals());
     }
     ingressToGate_.serve([this](v1::HopRequest request) { return passGate(std::move(request)); });
     peerToGate_.serve([this](v1::HopRequest request) {
-        signals_.gate().hops.add();
+        telemetry_.gate().hops.add();
         return passGate(std::move(request));
     });
     peerToControl_.serve([this](std::string body) { return control_->onRenew(std::move(body)); });
     adminToControl_.serve([this](AdminCall call) { return control_->onAdmin(std::move(call)); });
     controlToIngress_.serve([this](RoutingSnapshotPtr routing) {
-        signals_.onRouting(*routing);
+        telemetry_.onRouting(*routing);
         return ingress_.onRouting(std::move(routing));
     });
     controlToGate_.serve([this](GateGrant grant) {
-        signals_.onGrant(grant);
+        telemetry_.onGrant(grant);
         return gate_.onGrant(std::move(grant));
     });
     watchSignals();
@@ -96,8 +96,8 @@
     trace_ = std::make_unique<TraceDuty>(
             traceThread_.context(), std::move(resource),
             makeSpanSink(settings.signals.trace, traceThread_.context().get_executor()),
-            signals_.trace(),
-            std::vector<DutyTracer *>{&signals_.ingressTracer(), &signals_.gateTracer()});
+            telemetry_.trace(),
+            std::vector<DutyTracer *>{&telemetry_.ingressTracer(), &telemetry_.gateTracer()});
 }
 
 asio::awaitable<v1::HopReply> NodeProgram::passGate(v1::HopRequest request)
@@ -106,35 +106,35 @@
         co_return co_await gate_.onRequest(std::move(request));
     }
     const TimePoint startedAt = clock_.now();
-    Span span = signals_.gateTracer().startFromHop(SpanStep::Gate, request);
+    Span span = telemetry_.gateTracer().startFromHop(SpanStep::Gate, request);
     v1::HopReply reply = co_await gate_.onRequest(std::move(request));
-    signals_.onGateReply(reply, startedAt);
-    signals_.gate().open.set(static_cast<double>(gate_.openRequests()));
-    signals_.gateTracer().finish(std::move(span), hopOutcomeName(reply.outcome()),
-                                 reply.outcome() != v1::HOP_OUTCOME_DONE);
+    telemetry_.onGateReply(reply, startedAt);
+    telemetry_.gate().open.set(static_cast<double>(gate_.openRequests()));
+    telemetry_.gateTracer().finish(std::move(span), hopOutcomeName(reply.outcome()),
+                                   reply.outcome() != v1::HOP_OUTCOME_DONE);
     co_return reply;
 }
 
 void NodeProgram::watchSignals()
 {
-    signals_.watchLoop("ingress", ingressThread_.context());
-    signals_.watchLoop("peer", peerThread_.context());
-    signals_.watchLoop("gate", gateThread_.context());
-    signals_.watchLoop("control", controlThread_.context());
-    signals_.watchLoop("admin", adminThread_.context());
-    signals_.watchRing("ingress-gate", ingressToGate_);
-    signals_.watchRing("peer-gate", peerToGate_);
-    signals_.watchRing("peer-control", peerToControl_);
-    signals_.watchRing("admin-control", adminToControl_);
-    signals_.watchRing("control-ingress", controlToIngress_);
-    signals_.watchRing("control-gate", controlToGate_);
+    telemetry_.watchLoop("ingress", ingressThread_.context());
+    telemetry_.watchLoop("peer", peerThread_.context());
+    telemetry_.watchLoop("gate", gateThread_.context());
+    telemetry_.watchLoop("control", controlThread_.context());
+    telemetry_.watchLoop("admin", adminThread_.context());
+    telemetry_.watchRing("ingress-gate", ingressToGate_);
+    telemetry_.watchRing("peer-gate", peerToGate_);
+    telemetry_.watchRing("peer-control", peerToControl_);
+    telemetry_.watchRing("admin-control", adminToControl_);
+    telemetry_.watchRing("control-ingress", controlToIngress_);
+    telemetry_.watchRing("control-gate", controlToGate_);
 }
 
 void NodeProgram::watchRefusals(const std::string &side, const AuthCounters &counters)
 {
     for (size_t index = 0; index < AuthRefusalCount; ++index) {
         const auto refusal = static_cast<AuthRefusal>(index);
-        signals_.registry().addComputed(
+        telemetry_.registry().addComputed(
                 {"wisteriahoist_auth_refused_total",
                  "Calls and hellos refused for their credential.", MetricKind::Counter},
                 {{"side", side}, {"cause", std::string(refusalName(refusal))}},
