--- a/src/program/node_program.h
+++ b/src/program/node_program.h
@@ -11,7 +11,7 @@
 #include "duty/duty_thread.h"
 #include "duty/gate_duty.h"
 #include "duty/ingress_duty.h"
-#include "duty/node_signals.h"
+#include "duty/node_telemetry.h"
 #include "duty/peer_duty.h"
 
 #include <memory>
@@ -44,7 +44,7 @@
     asio::awaitable<v1::HopReply> passGate(v1::HopRequest request);
 
     BootClockAdapter clock_;
-    NodeSignals signals_; ///< Before the threads, so that it outlives them.
+    NodeTelemetry telemetry_; ///< Before the threads, so that it outlives them.
     DutyThread ingressThread_{"ingress"};
     DutyThread peerThread_{"peer"};
     DutyThread gateThread_{"gate"};
@@ -60,7 +60,7 @@
     GrantLink controlToGate_;
 
     PlatformHttpStore platform_;
-    PlatformMeter meteredPlatform_;
+    MeteredPlatformStore meteredPlatform_;
     GateDuty gate_;
     IngressDuty ingress_;
     PeerDuty peer_;
--- a/src/program/operator_program.cpp
+++ b/src/program/operator_program.cpp
@@ -311,7 +311,7 @@
 
 int runKeygen(const std::string &id)
 {
-    std::cout << formatKey({id, drawBytes(FleetSecretBytes)});
+    std::cout << formatKey({id, randomBytes(FleetSecretBytes)});
     return ExitDone;
 }
 
--- a/src/program/sidecar_program.cpp
+++ b/src/program/sidecar_program.cpp
@@ -2,7 +2,7 @@
 
 #include "program/sidecar_program.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/log/event_log.h"
 #include "core/hash_func.h"
 #include "decision/member/report_check.h"
@@ -33,8 +33,8 @@
 GrantTimes makeGrantTimes(const SidecarSettings &settings)
 {
     GrantTimes times;
-    if (settings.longestHold.count() > 0) {
-        times.hold = std::min(times.hold, settings.longestHold);
+    if (settings.maxHoldTime.count() > 0) {
+        times.hold = std::min(times.hold, settings.maxHoldTime);
     }
     return times;
 }
@@ -61,7 +61,7 @@
 
 RouterSettings makeRouterSettings(const SidecarSettings &settings, NodeId node)
 {
-    return {node, settings.failureDomain, settings.service, settings.repeats};
+    return {node, settings.failureDomain, settings.service, settings.retries};
 }
 
 HttpLimits makeCallerLimits(const CallerLimits &limits)
@@ -102,8 +102,8 @@
               [this](const MemberRecord &member, StoreRevision revision) {
                   view_.onMember(member, revision);
               }),
-      watch_(context, clock_, ports.backend, monitor_, settings.heartbeat,
-             [this]() { onBackendChange(); })
+      healthChecker_(context, clock_, ports.backend, monitor_, settings.heartbeat,
+                     [this]() { onBackendChange(); })
 {
     peers_.identifyAs(node_);
     view_.onChange([this]() {
@@ -111,19 +111,19 @@
                 view_.routes().config() ? view_.routes().config()->limits : CallerLimits{}));
         ranges_.wake();
     });
-    publisher_.onEarlier([this](const MemberRecord &earlier) {
+    publisher_.onPreviousRecord([this](const MemberRecord &earlier) {
         // What an earlier life of this process has acknowledged binds this one too.
         if (earlier.state == BackendState::Draining && monitor_.onDeregister(earlier.backend)) {
             onBackendChange();
         }
     });
     gate_.onMonitorChange([this]() { onBackendChange(); });
-    gate_.onSuspicion([this]() { watch_.suspect(); });
-    router_.exchangeNews(sync_);
-    ports_.store.onStanding(
+    gate_.onConnectionFailure([this]() { healthChecker_.requestCheck(); });
+    router_.setRevisionExchange(sync_);
+    ports_.store.onConflict(
             [this](RecordKind kind, const StoredRecord &record) { sync_.onRecord(kind, record); });
     ranges_.onMonitorChange([this]() { onBackendChange(); });
-    ranges_.probeWith([this](const MemberRecord &member) { return router_.probe(member); });
+    ranges_.setPeerProbe([this](const MemberRecord &member) { return router_.probe(member); });
     registerMetrics();
 }
 
@@ -135,11 +135,11 @@
         server->start();
         return server;
     };
-    callers_ = listen(
-            settings_.callers,
-            WatchedHttpHandler([this](HttpRequest request, std::shared_ptr<CallerWatch> caller) {
-                return router_.onRequest(std::move(request), std::move(caller));
-            }));
+    callers_ = listen(settings_.callers,
+                      CancellableHttpHandler([this](HttpRequest request,
+                                                    std::shared_ptr<DisconnectSignal> caller) {
+                          return router_.onRequest(std::move(request), std::move(caller));
+                      }));
     reports_ = listen(settings_.reports, HttpHandler([this](HttpRequest request) {
                           return onReport(std::move(request));
                       }));
@@ -153,7 +153,7 @@
     sync_.start();
     publisher_.start();
     ranges_.start();
-    watch_.start();
+    healthChecker_.start();
 }
 
 MemberRecord SidecarProgram::describe() const
@@ -174,7 +174,7 @@
 {
     logEvent(LogEvent::BackendChanged, {{"backend", monitor_.backend().text()},
                                         {"state", static_cast<int64_t>(monitor_.state())},
-                                        {"refusing", monitor_.isRefusing()},
+                                        {"refusing", monitor_.refusesConnections()},
                                         {"evidence", backendEvidenceName(monitor_.evidence())},
                                         {"slots", monitor_.slots()}});
     gate_.onBackendChange();
@@ -196,7 +196,7 @@
                 {missing ? http::status::not_found : http::status::bad_request,
                  failureName(failure.code), failure.context, milliseconds(0)});
     }
-    std::optional<HoldOrder> order;
+    std::optional<GrantReply> order;
     if (!call.assume_value().deregisters) {
         order = co_await answerHeartbeat(call.assume_value().report, receivedAt);
     } else if (monitor_.onDeregister(call.assume_value().report.backend)) {
@@ -212,15 +212,15 @@
         return call;
     }
     const std::optional<Failure> refusal
-            = refuseReport(call.assume_value().report, monitor_.backend(), view_.routes());
+            = checkReport(call.assume_value().report, monitor_.backend(), view_.routes());
     if (refusal) {
         return *refusal;
     }
     return call;
 }
 
-asio::awaitable<std::optional<HoldOrder>> SidecarProgram::answerHeartbeat(BackendReport report,
-                                                                          TimePoint receivedAt)
+asio::awaitable<std::optional<GrantReply>> SidecarProgram::answerHeartbeat(BackendReport report,
+                                                                           TimePoint receivedAt)
 {
     const bool changed = monitor_.onReport(report, receivedAt);
     if (changed) {
@@ -230,7 +230,7 @@
         co_return std::nullopt;
     }
     const bool atOnce = changed || monitor_.state() != BackendState::Ready;
-    co_return co_await ranges_.answerReport(std::move(*report.holding), atOnce, receivedAt);
+    co_return co_await ranges_.handleHeartbeat(std::move(*report.holding), atOnce, receivedAt);
 }
 
 asio::awaitable<HttpResponse> SidecarProgram::onReadiness(HttpRequest)
@@ -267,9 +267,9 @@
     counter("wisteriahoist_forwarded_total", "Attempts at other nodes.",
             [&counters]() { return counters.forwarded; });
     counter("wisteriahoist_repeats_total", "Attempts that drew on the retry budget.",
-            [&counters]() { return counters.repeats; });
+            [&counters]() { return counters.retries; });
     counter("wisteriahoist_callers_gone_total", "Callers that left before their answer.",
-            [&counters]() { return counters.callersGone; });
+            [&counters]() { return counters.callersDisconnected; });
     counter("wisteriahoist_throttled_total",
             "Requests refused on arrival, since their service was full everywhere.",
             [&counters]() { return counters.throttled; });
@@ -313,10 +313,10 @@
 
 void SidecarProgram::onSettings(const SidecarSettings &settings)
 {
-    logEvent(LogEvent::SettingsReloaded, {{"changed", isNews(settings)}});
+    logEvent(LogEvent::SettingsReloaded, {{"changed", differs(settings)}});
     known_ = settings;
-    settings_.shutdown = settings.shutdown;
-    router_.setRepeats(settings.repeats);
+    settings_.shutdownTimeout = settings.shutdownTimeout;
+    router_.setRetryLimits(settings.retries);
 }
 
 void SidecarProgram::beginStop()
@@ -327,8 +327,8 @@
     logEvent(LogEvent::NodeStopping);
     stopping_ = true;
     stopBegun_ = clock_.now();
-    callers_->closeAfterAnswers();
-    gate_.endAt(stopBegun_ + settings_.shutdown - EndMargin);
+    callers_->closeAfterResponses();
+    gate_.setShutdownDeadline(stopBegun_ + settings_.shutdownTimeout - EndMargin);
     ranges_.beginStop();
 }
 
@@ -339,7 +339,7 @@
         closing_ = true;
         publisher_.wake();
         if (view_.readyMembers(monitor_.service()).size() > 1) {
-            gate_.closeKeyless();
+            gate_.rejectKeyless();
         }
     }
     if (since >= ReadinessGap) {
@@ -356,8 +356,8 @@
     // arrived that nobody has looked at, and answers that their callers have not read yet. Keys
     // that nobody has taken over would wait for this node's lease to run out.
     const bool isDone = callers_->hasEnded() && router_.openRequests() == 0
-                        && gate_.openRequests() == 0 && !ranges_.hasKeysToGive(now);
-    return isDone || now - stopBegun_ >= settings_.shutdown - EndMargin;
+                        && gate_.openRequests() == 0 && !ranges_.hasTransferableKeys(now);
+    return isDone || now - stopBegun_ >= settings_.shutdownTimeout - EndMargin;
 }
 
 namespace {
@@ -369,7 +369,7 @@
     program.beginStop();
     while (!program.hasStopped(program.clock().now())) {
         program.continueStop(program.clock().now());
-        co_await pauseFor(StopPoll);
+        co_await sleepFor(StopPoll);
     }
     context.stop();
 }
@@ -392,9 +392,9 @@
                                        std::function<std::optional<SidecarSettings>()> reload)
 {
     while (true) {
-        co_await pauseFor(SettingsPoll);
+        co_await sleepFor(SettingsPoll);
         const std::optional<SidecarSettings> settings = reload();
-        if (settings && program.isNews(*settings)) {
+        if (settings && program.differs(*settings)) {
             program.onSettings(*settings);
         }
     }
--- a/src/program/sidecar_program.h
+++ b/src/program/sidecar_program.h
@@ -2,17 +2,17 @@
 
 #pragma once
 
-#include "adapter/clock/asio_wake_timers.h"
+#include "adapter/clock/asio_wake_timer_factory.h"
 #include "adapter/clock/boot_clock_adapter.h"
 #include "adapter/http/http_server.h"
-#include "adapter/log/bounded_event.h"
+#include "adapter/log/rate_limited_event.h"
 #include "adapter/metrics/metric_registry.h"
 #include "adapter/random/mt_random_source.h"
 #include "duty/backend_gate.h"
-#include "duty/backend_watch.h"
+#include "duty/backend_health_checker.h"
 #include "duty/member_publisher.h"
 #include "duty/peer_link.h"
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 #include "duty/request_router.h"
 #include "duty/shared_watch.h"
 #include "duty/store_relay.h"
@@ -35,7 +35,7 @@
     std::string configName; ///< Record that holds the configuration.
     ConfigDecoder decodeConfig;
     std::function<Result<BackendCall>(const HttpRequest &)> decodeReport;
-    std::function<HttpResponse(const std::optional<HoldOrder> &)> makeReportAck;
+    std::function<HttpResponse(const std::optional<GrantReply> &)> makeReportAck;
     const StoreCallCounts &storeCalls;
 };
 
@@ -56,7 +56,7 @@
     void onSettings(const SidecarSettings &settings);
 
     /** @return Whether @p settings differ from those that were read last. */
-    bool isNews(const SidecarSettings &settings) const { return !(settings == known_); }
+    bool differs(const SidecarSettings &settings) const { return !(settings == known_); }
 
     /**
      * Begins a stop, which goes through these steps in this order:
@@ -86,8 +86,8 @@
     void onBackendChange();
     asio::awaitable<HttpResponse> onReport(HttpRequest request);
     Result<BackendCall> readReport(const HttpRequest &request);
-    asio::awaitable<std::optional<HoldOrder>> answerHeartbeat(BackendReport report,
-                                                              TimePoint receivedAt);
+    asio::awaitable<std::optional<GrantReply>> answerHeartbeat(BackendReport report,
+                                                               TimePoint receivedAt);
     asio::awaitable<HttpResponse> onReadiness(HttpRequest request);
     asio::awaitable<HttpResponse> onMetrics(HttpRequest request);
     void registerMetrics();
@@ -105,21 +105,21 @@
     PeerLink peers_;
     RelayedStore relay_;
     SharedWatch store_;
-    AsioWakeTimers timers_;
+    AsioWakeTimerFactory timers_;
     MtRandomSource random_; ///< Of the duty of the keys.
-    RangeDuty ranges_;
+    RangeController ranges_;
     BackendGate gate_;
     RequestRouter router_;
     StoreSync sync_;
     MemberPublisher publisher_;
-    BackendWatch watch_;
+    BackendHealthChecker healthChecker_;
     MetricRegistry metrics_;
     std::shared_ptr<HttpServer> callers_;
     std::shared_ptr<HttpServer> reports_;
     std::shared_ptr<HttpServer> readiness_;
     std::shared_ptr<HttpServer> metricsPage_;
     /// A foreign writer may repeat itself for ever.
-    BoundedEvent reportLines_{LogEvent::ReportRefused, 1, 10};
+    RateLimitedEvent reportLines_{LogEvent::ReportRefused, 1, 10};
     bool stopping_ = false;
     bool closing_ = false; ///< The last part of the stop: other nodes send nothing here any more.
     TimePoint stopBegun_ = NeverTime;
--- a/src/program/sidecar_settings.h
+++ b/src/program/sidecar_settings.h
@@ -5,7 +5,7 @@
 
 #include "core/id_type.h"
 #include "core/time_type.h"
-#include "decision/request/repeat_budget.h"
+#include "decision/request/fleet_retry_budget.h"
 
 #include <optional>
 #include <string>
@@ -34,9 +34,9 @@
     Endpoint metrics;
     Endpoint store;
     milliseconds heartbeat{1000}; ///< About so often the backend server reports.
-    milliseconds longestHold{0};  ///< The longest grant that it takes; 0: keys are not granted.
-    milliseconds shutdown{6000};  ///< From the request to end until the process is killed.
-    FleetBudget repeats;
+    milliseconds maxHoldTime{0};  ///< The longest grant that it takes; 0: keys are not granted.
+    milliseconds shutdownTimeout{6000}; ///< From the request to end until the process is killed.
+    FleetRetryLimits retries;
     double cpuShare = 0; ///< Of a core, that this process may use; 0: not known.
     bool operator==(const SidecarSettings &) const = default;
 };
--- a/src/standin/backend_standin.cpp
+++ b/src/standin/backend_standin.cpp
@@ -75,8 +75,8 @@
     : context_(context), behaviour_(std::move(behaviour)), ip_(ip),
       started_(std::chrono::steady_clock::now())
 {
-    const WatchedHttpHandler handler
-            = [this](HttpRequest request, std::shared_ptr<CallerWatch> caller) {
+    const CancellableHttpHandler handler
+            = [this](HttpRequest request, std::shared_ptr<DisconnectSignal> caller) {
                   return handle(std::move(request), std::move(caller));
               };
     server_ = std::make_shared<HttpServer>(context, ip, port, HttpLimits{}, handler);
@@ -122,7 +122,7 @@
 }
 
 asio::awaitable<HttpResponse> BackendStandin::handle(HttpRequest request,
-                                                     std::shared_ptr<CallerWatch> caller)
+                                                     std::shared_ptr<DisconnectSignal> caller)
 {
     const auto target = request.target();
     if (target == "/_log") {
@@ -139,7 +139,7 @@
 }
 
 asio::awaitable<HttpResponse> BackendStandin::run(HttpRequest request,
-                                                  std::shared_ptr<CallerWatch> caller)
+                                                  std::shared_ptr<DisconnectSignal> caller)
 {
     const bool cold = std::chrono::steady_clock::now() - started_ < behaviour_.coldStart;
     if (behaviour_.shedding || cold || running_ >= behaviour_.slots) {
@@ -168,11 +168,11 @@
     const milliseconds allowed = allowedTime(request, behaviour_.fenced && !key.empty());
     asio::steady_timer timer(context_, std::min(behaviour_.workTime, allowed));
     beast::error_code ignored;
-    caller->onGone([&timer]() { timer.cancel(); });
+    caller->onDisconnect([&timer]() { timer.cancel(); });
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
-    caller->onGone(nullptr);
+    caller->onDisconnect(nullptr);
     --running_;
-    if (allowed < behaviour_.workTime || caller->isGone()) {
+    if (allowed < behaviour_.workTime || caller->isDisconnected()) {
         // It began, so nobody may say that it was not run; it ends here and does no more.
         ++cutRuns_;
         co_return makeProblemResponse({http::status::gateway_timeout, "run-cut",
--- a/src/standin/backend_standin.h
+++ b/src/standin/backend_standin.h
@@ -56,8 +56,10 @@
     void announceTo(const std::string &ip, uint16_t adminPort);
 
 private:
-    asio::awaitable<HttpResponse> handle(HttpRequest request, std::shared_ptr<CallerWatch> caller);
-    asio::awaitable<HttpResponse> run(HttpRequest request, std::shared_ptr<CallerWatch> caller);
+    asio::awaitable<HttpResponse> handle(HttpRequest request,
+                                         std::shared_ptr<DisconnectSignal> caller);
+    asio::awaitable<HttpResponse> run(HttpRequest request,
+                                      std::shared_ptr<DisconnectSignal> caller);
     asio::awaitable<void> announceLoop(std::string ip, uint16_t adminPort);
     HttpResponse makeLog() const;
     HttpResponse makeHealth();
--- a/src/standin/fleet.cpp
+++ b/src/standin/fleet.cpp
@@ -12,7 +12,7 @@
 Fleet::Fleet(FleetSettings settings) : settings_(std::move(settings))
 {
     std::filesystem::create_directories(settings_.directory);
-    keys_.keys = {{"k1", drawBytes(FleetSecretBytes)}};
+    keys_.keys = {{"k1", randomBytes(FleetSecretBytes)}};
     std::ofstream(settings_.directory + "/fleet.key") << formatKey(keys_.keys.front());
     platform_ = std::make_unique<ChildProcess>(
             std::vector<std::string>{settings_.standinBinary, "platform"},
--- a/src/standin/fleet_client.cpp
+++ b/src/standin/fleet_client.cpp
@@ -3,7 +3,7 @@
 #include "standin/fleet_client.h"
 
 #include "adapter/auth/fleet_authenticator.h"
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "standin/backend_standin.h"
 
 #include <algorithm>
@@ -52,7 +52,7 @@
 
 asio::awaitable<void> FleetClient::pause(milliseconds duration)
 {
-    co_await pauseFor(duration);
+    co_await sleepFor(duration);
 }
 
 asio::awaitable<bool> FleetClient::waitUntil(Condition condition)
--- a/src/standin/platform_standin.cpp
+++ b/src/standin/platform_standin.cpp
@@ -2,7 +2,7 @@
 
 #include "standin/platform_standin.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "port/platform_store.h"
 
 #include <boost/asio/redirect_error.hpp>
@@ -83,10 +83,10 @@
         co_return handleControl(request);
     }
     while (faults_.silent) {
-        co_await pauseFor(milliseconds(50));
+        co_await sleepFor(milliseconds(50));
     }
     if (faults_.delay.count() > 0) {
-        co_await pauseFor(faults_.delay);
+        co_await sleepFor(faults_.delay);
     }
     if (faults_.down) {
         co_return makeProblemResponse({http::status::service_unavailable, "outage", "down"});
@@ -170,7 +170,7 @@
     if (faults_.loseReplies > 0) {
         --faults_.loseReplies;
         // The write took effect; the writer's call runs into its timeout.
-        co_await pauseFor(milliseconds(10000));
+        co_await sleepFor(milliseconds(10000));
     }
     HttpResponse response(http::status::ok, 11);
     response.set(http::field::etag, "\"" + std::to_string(lastVersion_) + "\"");
--- a/test/process/fleet_test.cpp
+++ b/test/process/fleet_test.cpp
@@ -1,7 +1,7 @@
 /** @file fleet_test.cpp Real processes on loopback under kill, pause, outage and drain. */
 
 #include "standin/fleet_client.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <csignal>
--- a/test/process/operators_test.cpp
+++ b/test/process/operators_test.cpp
@@ -3,7 +3,7 @@
 #include "adapter/http/http_client.h"
 #include "adapter/settings/node_settings.h"
 #include "standin/fleet.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/test/support/ownership_backend.h
+++ b/test/support/ownership_backend.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include "decision/range/range_keeper.h"
+#include "decision/range/grant_manager.h"
 
 #include <algorithm>
 
@@ -43,7 +43,7 @@
         bool isOccupied(TimePoint now) const { return isHeld(now) || isWorkedOn(now); }
     };
 
-    void start(const BackendLife &life)
+    void start(const BackendIncarnation &life)
     {
         life_ = life;
         alive_ = true;
@@ -61,7 +61,7 @@
     /** @param share How much longer than asked for its slow clock makes it hold. */
     void runSlow(double share) { slowness_ = share; }
 
-    const BackendLife &life() const { return life_; }
+    const BackendIncarnation &life() const { return life_; }
     bool isAlive() const { return alive_; }
     const std::vector<Part> &parts() const { return parts_; }
 
@@ -101,9 +101,9 @@
     }
 
     /** @return What a heartbeat that is sent now shows; it gets the next number. */
-    HoldReport report(TimePoint now)
+    HeldKeysReport report(TimePoint now)
     {
-        HoldReport report;
+        HeldKeysReport report;
         report.sequence = ++sequence_;
         for (Part &part : parts_) {
             if (part.isOccupied(now)) {
@@ -120,7 +120,7 @@
     uint64_t sequence() const { return sequence_; }
 
     /** Reads the answer to heartbeat @p number, which may be one that was read before. */
-    void takeAnswer(uint64_t number, const std::optional<HoldOrder> &order, TimePoint sentAt,
+    void takeAnswer(uint64_t number, const std::optional<GrantReply> &order, TimePoint sentAt,
                     TimePoint now)
     {
         if (number < taken_ || now - sentAt > stretched(AnswerBound)) {
@@ -212,10 +212,10 @@
         part.ending = false;
     }
 
-    void takeHolds(const HoldOrder &order, TimePoint sentAt, TimePoint now)
+    void takeHolds(const GrantReply &order, TimePoint sentAt, TimePoint now)
     {
         std::vector<KeySpan> named;
-        for (const OfferedKeys &row : order.rows) {
+        for (const GrantedKeys &row : order.rows) {
             if (grant(row.span, row.fence, order.hold, sentAt, now)) {
                 named.push_back(row.span);
             }
@@ -232,7 +232,7 @@
         }
     }
 
-    BackendLife life_;
+    BackendIncarnation life_;
     bool alive_ = false;
     double slowness_ = 0;
     uint64_t sequence_ = 0;              ///< Of the latest heartbeat.
--- a/test/support/ownership_fleet.h
+++ b/test/support/ownership_fleet.h
@@ -2,12 +2,12 @@
 
 #pragma once
 
-#include "adapter/clock/asio_wake_timers.h"
+#include "adapter/clock/asio_wake_timer_factory.h"
 #include "adapter/clock/boot_clock_adapter.h"
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "adapter/random/mt_random_source.h"
 #include "duty/peer_link.h"
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 #include "support/scripted_backend.h"
 #include "support/scripted_store.h"
 
@@ -16,38 +16,38 @@
 namespace wisteriahoist::testing {
 
 /** A backend server that enforces grants: keys by fence, until released or run out. */
-class GrantingBackend final : public BackendControl
+class FakeGrantingBackend final : public BackendControl
 {
 public:
-    explicit GrantingBackend(const Clock &clock) : clock_(clock) { }
+    explicit FakeGrantingBackend(const Clock &clock) : clock_(clock) { }
 
-    asio::awaitable<OrderAnswer> grant(GrantOrder order, milliseconds) override
+    asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds) override
     {
-        OrderAnswer answer;
+        ControlReply answer;
         if (!alive_ || open_ >= connections_) {
-            co_await pauseFor(RefusalTime);
-            answer.result = OrderResult::NotSent;
+            co_await sleepFor(RefusalTime);
+            answer.result = ControlResult::NotSent;
             co_return answer;
         }
         ++grants_;
         if (order.fence < highestFence_) {
-            answer.result = OrderResult::HigherFence;
+            answer.result = ControlResult::StaleFence;
             co_return answer;
         }
         setHeld(order.span, clock_.now() + order.hold);
         if (orderTime_.count() > 0) {
             ++open_;
-            co_await pauseFor(orderTime_);
+            co_await sleepFor(orderTime_);
             --open_;
         }
-        answer.result = OrderResult::Accepted;
+        answer.result = ControlResult::Accepted;
         co_return answer;
     }
 
-    asio::awaitable<OrderAnswer> release(ReleaseOrder order, milliseconds) override
+    asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds) override
     {
-        OrderAnswer answer;
-        answer.result = alive_ ? OrderResult::Accepted : OrderResult::NotSent;
+        ControlReply answer;
+        answer.result = alive_ ? ControlResult::Accepted : ControlResult::NotSent;
         answer.handover = "token";
         if (alive_) {
             setHeld(order.span, NeverTime);
@@ -55,9 +55,9 @@
         co_return answer;
     }
 
-    asio::awaitable<BackendSight> look(milliseconds) override
+    asio::awaitable<BackendStatus> pollOnce(milliseconds) override
     {
-        BackendSight sight;
+        BackendStatus sight;
         sight.answered = alive_;
         sight.refusedConnection = !alive_;
         co_return sight;
@@ -125,7 +125,8 @@
             reply.mutable_load()->set_leaving(duty.isLeaving());
             co_return reply.SerializeAsString();
         });
-        duty.probeWith([this, &clock](const MemberRecord &member) { return probe(clock, member); });
+        duty.setPeerProbe(
+                [this, &clock](const MemberRecord &member) { return probe(clock, member); });
         RouteConfig config;
         config.version = 1;
         config.services["s"] = {"s", 0, true};
@@ -159,7 +160,7 @@
     {
         RouteConfig config;
         config.version = 2;
-        config.services["s"] = {"s", 0, true, GrantForm::Heartbeat};
+        config.services["s"] = {"s", 0, true, GrantDelivery::Heartbeat};
         (void)view.onConfig(config);
     }
 
@@ -171,15 +172,15 @@
         return member;
     }
 
-    GrantingBackend backend;
+    FakeGrantingBackend backend;
     FleetView view;
     BackendMonitor monitor{MonitorLimits{}};
     PeerLoads loads;
     PeerLink peers;
     MemberRecord record;
-    AsioWakeTimers timers;
+    AsioWakeTimerFactory timers;
     MtRandomSource random;
-    RangeDuty duty;
+    RangeController duty;
 };
 
 /** The fleet; the store's records reach each view at once, as long as it is connected. */
@@ -239,8 +240,8 @@
     }
 
     /** A heartbeat of @p backend arrives at @p node. @return What its answer grants. */
-    std::optional<HoldOrder> heartbeat(OwnershipNode &node, const BackendLife &backend,
-                                       uint64_t sequence, const HoldReport &holding)
+    std::optional<GrantReply> heartbeat(OwnershipNode &node, const BackendIncarnation &backend,
+                                        uint64_t sequence, const HeldKeysReport &holding)
     {
         BackendReport report;
         report.backend = backend;
@@ -248,7 +249,7 @@
         report.slots = 12;
         report.sequence = sequence;
         (void)node.monitor.onReport(report, clock_.now());
-        return runUntil(context_, node.duty.answerReport(holding, true, clock_.now()));
+        return runUntil(context_, node.duty.handleHeartbeat(holding, true, clock_.now()));
     }
 
     ScriptedStore &store() { return store_; }
--- a/test/support/ownership_node.h
+++ b/test/support/ownership_node.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include "decision/member/backend_monitor.h"
-#include "duty/range_duty.h"
+#include "duty/range_controller.h"
 #include "support/ownership_world.h"
 
 namespace wisteriahoist::testing {
@@ -28,7 +28,7 @@
 class SimulatedNode
 {
 public:
-    using ReportAnswer = std::function<void(const std::optional<HoldOrder> &)>;
+    using ReportAnswer = std::function<void(const std::optional<GrantReply> &)>;
     using PeerAnswer = std::function<void(std::string)>;
 
     SimulatedNode(OwnershipWorld &world, size_t index, double clockRate);
@@ -60,7 +60,7 @@
     bool admits(ShardKey key) const;
 
     /** A request for @p key has kept the backend server busy for @p busy. */
-    void onWork(ShardKey key, Duration busy);
+    void recordBusyTime(ShardKey key, Duration busy);
 
 private:
     class Store;
@@ -88,7 +88,7 @@
     std::unique_ptr<Orders> orders_;
     std::unique_ptr<Peers> peers_;
     MemberRecord self_;
-    std::unique_ptr<RangeDuty> duty_;
+    std::unique_ptr<RangeController> duty_;
     /** Ends with the node; actions on the agenda hold it weakly. */
     std::shared_ptr<SimulatedNode *> alive_;
 };
--- a/test/support/ownership_world.h
+++ b/test/support/ownership_world.h
@@ -18,7 +18,7 @@
 
 /** How keys are granted, and how they are recorded. */
 struct WorldSettings {
-    GrantForm form = GrantForm::Call;
+    GrantDelivery form = GrantDelivery::Call;
     uint32_t blocks = 1;                           ///< Records that the table is kept in.
     std::function<void(const std::string &)> tell; ///< Gets each step, to read a seed that fails.
 };
@@ -63,7 +63,7 @@
 
     using WriteDone = std::function<void(Result<StoreRevision>)>;
     using ReadDone = std::function<void(Result<StoredRecord>)>;
-    using OrderDone = std::function<void(OrderAnswer)>;
+    using OrderDone = std::function<void(ControlReply)>;
     using CallDone = std::function<void(Result<std::string>)>;
 
     /** What is between one node and the others, and the state of its VM. */
@@ -83,9 +83,9 @@
     // Calls of the nodes.
     void read(size_t index, RecordKind kind, const std::string &name, ReadDone done);
     void write(size_t index, RecordKind kind, RecordWrite write, const WriteDone &done);
-    void sendGrant(size_t index, const GrantOrder &order, milliseconds timeout,
+    void sendGrant(size_t index, const GrantRequest &order, milliseconds timeout,
                    const OrderDone &done);
-    void sendRelease(size_t index, const ReleaseOrder &order, milliseconds timeout,
+    void sendRelease(size_t index, const ReleaseRequest &order, milliseconds timeout,
                      const OrderDone &done);
     void sendPeerCall(size_t from, NodeId to, const std::string &path, std::string body,
                       milliseconds timeout, const CallDone &done);
@@ -103,9 +103,9 @@
     void heartbeat(size_t index, uint64_t life);
     void deliverReport(size_t index, uint64_t life, const BackendReport &report, TimePoint sentAt);
     void readAnswer(size_t index, uint64_t life, uint64_t number,
-                    const std::optional<HoldOrder> &order, TimePoint sentAt);
+                    const std::optional<GrantReply> &order, TimePoint sentAt);
     void endExchange(size_t index, uint64_t life, uint64_t number);
-    void carryOutGrant(size_t index, const GrantOrder &order, TimePoint arrivedAt,
+    void carryOutGrant(size_t index, const GrantRequest &order, TimePoint arrivedAt,
                        const OrderDone &done);
     void checkTaken(size_t index);
 
--- a/test/support/range_fixture.h
+++ b/test/support/range_fixture.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include "decision/range/range_keeper.h"
+#include "decision/range/grant_manager.h"
 
 namespace wisteriahoist::testing {
 
@@ -19,9 +19,9 @@
 }
 
 /** @return A keeper that knows of Self's half and has granted nothing yet. */
-inline RangeKeeper makeKeeper()
+inline GrantManager makeKeeper()
 {
-    RangeKeeper keeper(GrantTimes{}, NeverTime);
+    GrantManager keeper(GrantTimes{}, NeverTime);
     keeper.onTable(makeTable(), Self, Start);
     return keeper;
 }
--- a/test/support/raw_caller.h
+++ b/test/support/raw_http_client.h
@@ -1,4 +1,4 @@
-/** @file raw_caller.h A caller on a plain socket, outside the event loop that is tested. */
+/** @file raw_http_client.h A caller on a plain socket, outside the event loop that is tested. */
 
 #pragma once
 
@@ -16,10 +16,10 @@
 namespace wisteriahoist::testing {
 
 /** A caller on a plain socket; it knows when its bytes have reached the server's machine. */
-class RawCaller
+class RawHttpClient
 {
 public:
-    explicit RawCaller(uint16_t port) : socket_(context_)
+    explicit RawHttpClient(uint16_t port) : socket_(context_)
     {
         socket_.connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), port));
         socket_.non_blocking(true);
@@ -37,7 +37,7 @@
     }
 
     /** Takes what has come. */
-    void look()
+    void pollOnce()
     {
         std::array<char, 4096> chunk{};
         beast::error_code error;
--- a/test/support/scripted_store.h
+++ b/test/support/scripted_store.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "port/record_store.h"
 
 #include <boost/asio/io_context.hpp>
@@ -34,7 +34,7 @@
     void cutWatches() { ++cuts_; }
 
     /** The next @p count writes are done but not answered. */
-    void loseAnswers(int count) { lostAnswers_ = count; }
+    void loseResponses(int count) { lostAnswers_ = count; }
 
     /** @return Writes that were refused since the record had changed. */
     int conflicts() const { return conflicts_; }
@@ -140,7 +140,7 @@
             if (!found.changes.empty() && !muted_ && !down_) {
                 co_return found;
             }
-            co_await pauseFor(milliseconds(1));
+            co_await sleepFor(milliseconds(1));
         }
     }
 
--- a/test/support/simulated_clock.h
+++ b/test/support/simulated_clock.h
@@ -138,7 +138,7 @@
 };
 
 /** Timers of one node: they end when the agenda gets there, whatever the real time is. */
-class SimulatedTimers final : public WakeTimers
+class SimulatedTimers final : public WakeTimerFactory
 {
 public:
     SimulatedTimers(asio::io_context &context, Agenda &agenda, const SimulatedClock &clock)
--- a/test/support/story.h
+++ b/test/support/test_section.h
@@ -1,4 +1,4 @@
-/** @file story.h Nested sections for Criterion tests, so that a test reads as a story. */
+/** @file test_section.h Nested sections for Criterion tests, so that a test reads as a story. */
 
 #pragma once
 
--- a/test/tsan/tsan_main.cpp
+++ b/test/tsan/tsan_main.cpp
@@ -80,7 +80,7 @@
 bool checkMetrics()
 {
     MetricRegistry registry;
-    LabelledCounter &labelled = registry.addLabelled("wh_a_total", "a", "reason");
+    LabelledCounter &labelled = registry.addLabelledCounter("wh_a_total", "a", "reason");
     Distribution &distribution = registry.addDistribution("wh_b_seconds", "b");
     std::thread writer([&labelled, &distribution]() {
         for (int index = 0; index < Calls; ++index) {
--- a/test/unit/auth/fleet_authenticator_test.cpp
+++ b/test/unit/auth/fleet_authenticator_test.cpp
@@ -3,7 +3,7 @@
 #include "adapter/auth/fleet_authenticator.h"
 
 #include "adapter/auth/peer_hello.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/auth/peer_guard_test.cpp
+++ b/test/unit/auth/peer_guard_test.cpp
@@ -1,7 +1,7 @@
 /** @file peer_guard_test.cpp The hello over real connections between two nodes. */
 
 #include "adapter/http2/peer_transport.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -37,7 +37,7 @@
     listener->requireHello(listenerKeys);
     listener->start();
     PeerCaller caller(context);
-    caller.introduceWith(callerKeys);
+    caller.authenticateWith(callerKeys);
     Exchange exchange;
     asio::co_spawn(
             context,
--- a/test/unit/config/config_accept_test.cpp
+++ b/test/unit/config/config_accept_test.cpp
@@ -4,7 +4,7 @@
 #include "decision/config/config_guard.h"
 #include "decision/config/declaration_diff.h"
 #include "support/declarations.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/config/declaration_check_test.cpp
+++ b/test/unit/config/declaration_check_test.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/config/declaration_check.h"
 #include "support/declarations.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <functional>
 
@@ -47,7 +47,7 @@
              "services[1].routes[0].path_prefix"},
             {[](auto &d) { d.services[1].routes[0].deadline = milliseconds(600001); },
              Code::BadArgument, "services[1].routes[0].deadline_ms"},
-            {[](auto &d) { d.services[1].routes[0].patience = milliseconds(2001); },
+            {[](auto &d) { d.services[1].routes[0].queueTimeout = milliseconds(2001); },
              Code::BadArgument, "services[1].routes[0].patience_ms"},
             {[](auto &d) { d.services[1].routes.push_back(d.services[1].routes[0]); },
              Code::UnreachableRoute, "services[1].routes[1]"},
@@ -84,7 +84,8 @@
         declarations.services[0].host = "";
         declarations.services[1].routes[0].deadline = milliseconds(0);
         declarations.services[1].routes[0].pathPrefix = "";
-        cr_assert(checkDeclarations(declarations).size() == 4); // 0 ms is shorter than the patience
+        cr_assert(checkDeclarations(declarations).size()
+                  == 4); // 0 ms is shorter than the queueTimeout
     }
 }
 
--- a/test/unit/config/round_trip_test.cpp
+++ b/test/unit/config/round_trip_test.cpp
@@ -8,7 +8,7 @@
 #include "decision/config/declaration_diff.h"
 #include "support/declarations.h"
 #include "support/property.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -44,7 +44,7 @@
     route.keyed = *rc::gen::arbitrary<bool>();
     route.repetition = *rc::gen::element(Repetition::Idempotent, Repetition::MustNotRepeat);
     route.deadline = milliseconds(*rc::gen::inRange<int64_t>(1, MaxDeadline.count() + 1));
-    route.patience = milliseconds(*rc::gen::inRange<int64_t>(0, route.deadline.count() + 1));
+    route.queueTimeout = milliseconds(*rc::gen::inRange<int64_t>(0, route.deadline.count() + 1));
     route.missingKey = *rc::gen::element(MissingKey::Refuse, MissingKey::SingleAttempt);
     route.missingAge = *rc::gen::element(MissingAge::Refuse, MissingAge::FirstSending);
     return route;
--- a/test/unit/config/rpc_codec_test.cpp
+++ b/test/unit/config/rpc_codec_test.cpp
@@ -2,7 +2,7 @@
 
 #include "adapter/codec/rpc_codec.h"
 
-#include "support/story.h"
+#include "support/test_section.h"
 #include "wisteriahoist/v1/operator.pb.h"
 
 using namespace wisteriahoist;
--- a/test/unit/config/schema_test.cpp
+++ b/test/unit/config/schema_test.cpp
@@ -1,6 +1,6 @@
 /** @file schema_test.cpp The schema keeps every field that was released. */
 
-#include "support/story.h"
+#include "support/test_section.h"
 #include "wisteriahoist/v1/operator.pb.h"
 
 #include <fstream>
--- a/test/unit/http/http_client_test.cpp
+++ b/test/unit/http/http_client_test.cpp
@@ -3,7 +3,7 @@
 
 #include "adapter/http/http_client.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -43,7 +43,8 @@
 {
     Fixture fixture({{makeMarked("aa") + makeMarked("bb"), {}, false, false, false}});
     auto control = std::make_shared<ExchangeControl>();
-    control->expect([](const HttpResponse &response) { return response["Mark"] == "bb"; });
+    control->setResponseFilter(
+            [](const HttpResponse &response) { return response["Mark"] == "bb"; });
     const auto answer = fixture.get(control);
     cr_assert(answer.has_value() && answer.assume_value().body() == "bb");
     cr_assert(fixture.client.idleConnections() == 0);
--- a/test/unit/http/http_server_test.cpp
+++ b/test/unit/http/http_server_test.cpp
@@ -4,7 +4,7 @@
 #include "adapter/http/http_client.h"
 #include "adapter/http/http_server.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/read.hpp>
 #include <rapidcheck.h>
@@ -27,10 +27,10 @@
     bool gone = false;
 };
 
-asio::awaitable<HttpResponse> holdOpen(Visit &visit, std::shared_ptr<CallerWatch> watch)
+asio::awaitable<HttpResponse> holdOpen(Visit &visit, std::shared_ptr<DisconnectSignal> watch)
 {
     visit.reached = true;
-    watch->onGone([&visit]() { visit.gone = true; });
+    watch->onDisconnect([&visit]() { visit.gone = true; });
     asio::steady_timer timer(co_await asio::this_coro::executor, std::chrono::seconds(30));
     co_await timer.async_wait(asio::use_awaitable);
     co_return HttpResponse();
@@ -172,7 +172,7 @@
     request.set(http::field::te, "trailers");
     request.set("Wisteriahoist-Epoch", "99");
     request.set("traceparent", "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01");
-    const std::vector<PassedField> passed = passedFields(request);
+    const std::vector<ForwardedField> passed = forwardableFields(request);
     cr_assert(passed.size() == 1 && passed.front().name == "traceparent");
 }
 
@@ -182,9 +182,10 @@
     // on holds a slot that other callers wait for.
     asio::io_context context;
     Visit visit;
-    const WatchedHttpHandler handler = [&visit](HttpRequest, std::shared_ptr<CallerWatch> watch) {
-        return holdOpen(visit, std::move(watch));
-    };
+    const CancellableHttpHandler handler
+            = [&visit](HttpRequest, std::shared_ptr<DisconnectSignal> watch) {
+                  return holdOpen(visit, std::move(watch));
+              };
     auto server = std::make_shared<HttpServer>(context, "127.0.0.1", 0, HttpLimits{}, handler);
     server->start();
     tcp::socket socket(context);
@@ -203,20 +204,22 @@
     PacedServer()
         : server(std::make_shared<HttpServer>(
                 context, "127.0.0.1", 0, HttpLimits{},
-                WatchedHttpHandler([this](HttpRequest request, std::shared_ptr<CallerWatch> watch) {
-                    return handle(std::move(request), std::move(watch));
-                }))),
+                CancellableHttpHandler(
+                        [this](HttpRequest request, std::shared_ptr<DisconnectSignal> watch) {
+                            return handle(std::move(request), std::move(watch));
+                        }))),
           socket(context)
     {
         server->start();
         socket.connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), server->port()));
     }
 
-    asio::awaitable<HttpResponse> handle(HttpRequest request, std::shared_ptr<CallerWatch> watch)
+    asio::awaitable<HttpResponse> handle(HttpRequest request,
+                                         std::shared_ptr<DisconnectSignal> watch)
     {
         const std::string path(request.target());
         begun.push_back(path);
-        watch->onGone([this, path]() { gone.insert(path); });
+        watch->onDisconnect([this, path]() { gone.insert(path); });
         asio::steady_timer timer(context);
         while (answered.count(path) == 0) {
             timer.expires_after(milliseconds(1));
@@ -334,7 +337,7 @@
                + PacedServer::get("/d"));
     cr_assert(paced.hasBegun(2));
     paced.receiveAll();
-    paced.server->closeAfterAnswers();
+    paced.server->closeAfterResponses();
     paced.answered = {"/a", "/b", "/c", "/d"};
     cr_assert(runUntilHolds(paced.context, [&]() { return paced.ended; }));
     cr_assert_eq(paced.begun.size(), 2U);
--- a/test/unit/http/request_protocol_test.cpp
+++ b/test/unit/http/request_protocol_test.cpp
@@ -1,7 +1,7 @@
 /** @file request_protocol_test.cpp What the status of an answer promises to callers. */
 
 #include "adapter/http/request_protocol.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <set>
 
@@ -16,6 +16,6 @@
     const std::set<unsigned> promising{408, 421, 429, 503};
     constexpr unsigned StatusEnd = 1000;
     for (unsigned status = 0; status < StatusEnd; ++status) {
-        cr_assert(promisesNotRun(status) == (promising.count(status) > 0), "status %u", status);
+        cr_assert(impliesNotExecuted(status) == (promising.count(status) > 0), "status %u", status);
     }
 }
--- a/test/unit/http/server_stop_test.cpp
+++ b/test/unit/http/server_stop_test.cpp
@@ -1,8 +1,8 @@
 /** @file server_stop_test.cpp Requests that meet the end of a server. */
 
 #include "adapter/http/http_server.h"
-#include "support/raw_caller.h"
-#include "support/story.h"
+#include "support/raw_http_client.h"
+#include "support/test_section.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/redirect_error.hpp>
@@ -55,10 +55,11 @@
     bool finishWork() { return elsewhere_.cancel() > 0; }
 
     /** Runs until @p holds, or for long. */
-    bool runUntil(RawCaller &caller, const std::function<bool()> &holds)
+    bool runUntil(RawHttpClient &caller, const std::function<bool()> &holds)
     {
         const auto end = std::chrono::steady_clock::now() + LongTime;
-        for (caller.look(); !holds() && std::chrono::steady_clock::now() < end; caller.look()) {
+        for (caller.pollOnce(); !holds() && std::chrono::steady_clock::now() < end;
+             caller.pollOnce()) {
             finishWork();
             context_.restart();
             context_.run_for(milliseconds(1));
@@ -140,14 +141,14 @@
 Outcome stopAfter(size_t steps, const Arrival &arrival, Work work)
 {
     SteppedServer stepped(work);
-    RawCaller caller(stepped.server().port());
+    RawHttpClient caller(stepped.server().port());
     size_t before = 0;
     if (arrival.kept) {
         caller.send(Head + "\r\n");
         stepped.runUntil(caller, [&]() { return caller.count(Answer) == 1; });
         before = 1;
     }
-    stepped.server().closeAfterAnswers();
+    stepped.server().closeAfterResponses();
     caller.send(arrival.bytes);
     Outcome outcome;
     outcome.stoppedAmid = stepped.steps(steps);
--- a/test/unit/http2/silent_session_test.cpp
+++ b/test/unit/http2/silent_session_test.cpp
@@ -3,7 +3,7 @@
 
 #include "adapter/http2/peer_transport.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/member/backend_monitor_test.cpp
+++ b/test/unit/member/backend_monitor_test.cpp
@@ -1,7 +1,7 @@
 /** @file backend_monitor_test.cpp Which life of the backend server counts, under late reports. */
 
 #include "decision/member/backend_monitor.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
@@ -72,7 +72,7 @@
     {
         BackendMonitor looking{MonitorLimits{}};
         (void)looking.onDeregister("i-1");
-        (void)looking.onOtherLife("i-1", Start);
+        (void)looking.onOtherIncarnation("i-1", Start);
         cr_assert(looking.state() == BackendState::Draining);
     }
 }
@@ -85,16 +85,16 @@
     {
         cr_assert(!monitor.onRefusedConnection());
         cr_assert(monitor.onRefusedConnection());
-        cr_assert(monitor.isRefusing() && monitor.state() == BackendState::Down);
+        cr_assert(monitor.refusesConnections() && monitor.state() == BackendState::Down);
     }
     SECTION("none counts while it works on requests: it has too many connections")
     {
         BackendMonitor busy{MonitorLimits{}};
         bool working = true;
-        busy.askWork([&working]() { return working; });
+        busy.setBusyCheck([&working]() { return working; });
         (void)busy.onReport(makeReport("i-1", 1), Start);
         cr_assert(!busy.onRefusedConnection() && !busy.onRefusedConnection());
-        cr_assert(!busy.isRefusing() && busy.state() == BackendState::Ready);
+        cr_assert(!busy.refusesConnections() && busy.state() == BackendState::Ready);
         working = false;
         cr_assert(!busy.onRefusedConnection());
         cr_assert(busy.onRefusedConnection());
@@ -103,8 +103,8 @@
     {
         BackendMonitor silent{MonitorLimits{}};
         (void)silent.onReport(makeReport("i-1", 1), Start);
-        cr_assert(silent.onSilence());
-        cr_assert(silent.state() == BackendState::Down && !silent.isRefusing());
+        cr_assert(silent.onNoResponse());
+        cr_assert(silent.state() == BackendState::Down && !silent.refusesConnections());
         cr_assert(silent.onAnswer(Start));
         cr_assert(silent.state() == BackendState::Ready);
     }
@@ -123,7 +123,7 @@
     BackendMonitor monitor{MonitorLimits{}};
     (void)monitor.onReport(reportOf(1000, 40), Start);
     cr_assert(monitor.onReport(reportOf(2000, 1), Start));
-    cr_assert(monitor.backend() == BackendLife("i-1", 2000));
+    cr_assert(monitor.backend() == BackendIncarnation("i-1", 2000));
     SECTION("a late heartbeat of the earlier life changes nothing")
     {
         cr_assert(!monitor.onReport(reportOf(1000, 41), Start));
@@ -144,9 +144,9 @@
     SECTION("a look shows only the id: the first heartbeat tells the rest, without another life")
     {
         BackendMonitor looking{MonitorLimits{}};
-        (void)looking.onOtherLife("i-1", Start);
+        (void)looking.onOtherIncarnation("i-1", Start);
         cr_assert(!looking.hasReported());
         (void)looking.onReport(reportOf(2000, 7), Start);
-        cr_assert(looking.backend() == BackendLife("i-1", 2000) && looking.hasReported());
+        cr_assert(looking.backend() == BackendIncarnation("i-1", 2000) && looking.hasReported());
     }
 }
--- a/test/unit/member/member_publisher_test.cpp
+++ b/test/unit/member/member_publisher_test.cpp
@@ -6,7 +6,7 @@
 #include "duty/fleet_view.h"
 #include "support/scripted_backend.h"
 #include "support/scripted_store.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/member/peer_link_test.cpp
+++ b/test/unit/member/peer_link_test.cpp
@@ -2,7 +2,7 @@
 
 #include "duty/peer_link.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/ownership/coordinator_test.cpp
+++ b/test/unit/ownership/coordinator_test.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/ownership/coordinator.h"
 #include "decision/ownership/least_owned_policy.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/ownership/loss_confirmer_test.cpp
+++ b/test/unit/ownership/loss_confirmer_test.cpp
@@ -5,7 +5,7 @@
 
 #include "adapter/codec/ownership_codec.h"
 #include "support/fake_platform.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/test/unit/ownership/member_test.cpp
+++ b/test/unit/ownership/member_test.cpp
@@ -1,7 +1,7 @@
 /** @file member_test.cpp What a member refuses to believe: late, old and reordered answers. */
 
 #include "decision/ownership/member.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/ownership/ownership_codec_test.cpp
+++ b/test/unit/ownership/ownership_codec_test.cpp
@@ -1,7 +1,7 @@
 /** @file ownership_codec_test.cpp Terms, assignments and renewals survive their protobuf form. */
 
 #include "adapter/codec/ownership_codec.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/ownership/safeguard_test.cpp
+++ b/test/unit/ownership/safeguard_test.cpp
@@ -4,7 +4,7 @@
 
 #include "fault_matrix/fault_cell.h"
 #include "fault_matrix/safeguard_table.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <rapidcheck.h>
 
--- a/test/unit/placement/balanced_placement_test.cpp
+++ b/test/unit/placement/balanced_placement_test.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/placement/balanced_placement.h"
 #include "decision/placement/table/placement_profiles.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 #include <map>
@@ -19,7 +19,7 @@
     std::map<KeyHash, double> keys; ///< Hot keys' rates.
     double spread = 0;              ///< Rate spread over the whole key space.
     std::vector<InstanceView> instances;
-    PlacementWeights weights = PotegladWeights;
+    PlacementWeights weights = UnavailableTimeWeights;
     std::map<NodeId, double> reportFactor; ///< 1: honest.
     BalancedPlacement policy;
     TimePoint now{seconds(1000)};
--- a/test/unit/placement/load_tracker_test.cpp
+++ b/test/unit/placement/load_tracker_test.cpp
@@ -1,7 +1,7 @@
 /** @file load_tracker_test.cpp A node counts its ranges' load and finds its hottest keys. */
 
 #include "decision/placement/load_tracker.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <cmath>
 
--- a/test/unit/platform/backend_calls_test.cpp
+++ b/test/unit/platform/backend_calls_test.cpp
@@ -3,7 +3,7 @@
 #include "adapter/clock/boot_clock_adapter.h"
 #include "platform/backend_calls.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::platform;
@@ -23,13 +23,16 @@
         backend->start();
     }
 
-    OrderAnswer grant(TimePoint sendBy)
+    ControlReply grant(TimePoint sendBy)
     {
-        GrantOrder order{Keys, Epoch(1), milliseconds(2500), {}, clock.now(), sendBy};
+        GrantRequest order{Keys, Epoch(1), milliseconds(2500), {}, clock.now(), sendBy};
         return runUntil(context, calls.grant(std::move(order), Timeout));
     }
 
-    OrderAnswer release() { return runUntil(context, calls.release({Keys, Epoch(1), 1}, Timeout)); }
+    ControlReply release()
+    {
+        return runUntil(context, calls.release({Keys, Epoch(1), 1}, Timeout));
+    }
 
     asio::io_context context;
     BootClockAdapter clock;
@@ -53,19 +56,20 @@
     BackendScript released = answerWith("X-Wisteriahoist-Handover: token\r\n", WorkTime);
     released.stray = makeAnswer("");
     Fixture fixture({answerWith(""), released});
-    cr_assert(fixture.grant(fixture.clock.now() + Timeout).result == OrderResult::Accepted);
-    const OrderAnswer answer = fixture.release();
-    cr_assert(answer.result == OrderResult::Accepted && answer.handover == "token");
+    cr_assert(fixture.grant(fixture.clock.now() + Timeout).result == ControlResult::Accepted);
+    const ControlReply answer = fixture.release();
+    cr_assert(answer.result == ControlResult::Accepted && answer.handover == "token");
 }
 
 // Guards against a hold that outlasts what its node has noted: a grant sent after a standstill.
 Test(backend_calls, a_grant_that_is_late_is_not_sent)
 {
     Fixture fixture({answerWith("")});
-    cr_assert(fixture.grant(fixture.clock.now() - milliseconds(1)).result == OrderResult::TooLate);
+    cr_assert(fixture.grant(fixture.clock.now() - milliseconds(1)).result
+              == ControlResult::TooLate);
     cr_assert(fixture.backend->requests().empty());
     SECTION("the next one is")
     {
-        cr_assert(fixture.grant(fixture.clock.now() + Timeout).result == OrderResult::Accepted);
+        cr_assert(fixture.grant(fixture.clock.now() + Timeout).result == ControlResult::Accepted);
     }
 }
--- a/test/unit/platform/decoding_test.cpp
+++ b/test/unit/platform/decoding_test.cpp
@@ -5,7 +5,7 @@
 #include "platform/request_headers.h"
 #include "platform/route_config_decoder.h"
 #include "platform/settings_reader.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::platform;
@@ -67,8 +67,8 @@
     cr_assert(settings.peers == Endpoint({"10.1.0.41", 8624}));
     cr_assert(settings.store == Endpoint({"10.200.1.7", 8627}));
     cr_assert(settings.heartbeat == milliseconds(1500));
-    cr_assert(settings.longestHold == milliseconds(10000));
-    cr_assert(settings.repeats.slack == 62);
+    cr_assert(settings.maxHoldTime == milliseconds(10000));
+    cr_assert(settings.retries.slack == 62);
     SECTION("every missing or wrong entry is a finding, in one go")
     {
         (void)decodeSettings("node_name = 3\nheartbeat = \"1 hour\"\n", "s.toml", findings);
@@ -112,7 +112,7 @@
     cr_assert(call.has_value());
     cr_assert(call.assume_value().report.backend == "i-7");
     cr_assert(call.assume_value().report.state == BackendState::Draining);
-    cr_assert(call.assume_value().report.coldFor == milliseconds(2500));
+    cr_assert(call.assume_value().report.warmUpLeft == milliseconds(2500));
     const auto leave = decodeReport(makeCall("/-/instances/i-7/deregister", ""));
     cr_assert(leave.assume_value().kind == ReportCall::Kind::Deregister);
     cr_assert(decodeReport(makeCall("/-/else", "")).assume_error().code == FailureCode::NotFound);
@@ -128,11 +128,11 @@
     const auto call = decodeReport(makeCall("/-/instances/i-7/heartbeat", beat));
     cr_assert(call.has_value());
     const BackendReport &report = call.assume_value().report;
-    cr_assert(report.backend == BackendLife("i-7", 1700));
-    const HoldReport expected{{{{ShardKey(0), ShardKey(4095)}, Epoch(7)},
-                               {{ShardKey(4096), ShardKey(5000)}, Epoch(9)}},
-                              {{{ShardKey(5001), ShardKey(6000)}, "5c0e"}},
-                              4};
+    cr_assert(report.backend == BackendIncarnation("i-7", 1700));
+    const HeldKeysReport expected{{{{ShardKey(0), ShardKey(4095)}, Epoch(7)},
+                                   {{ShardKey(4096), ShardKey(5000)}, Epoch(9)}},
+                                  {{{ShardKey(5001), ShardKey(6000)}, "5c0e"}},
+                                  4};
     cr_assert(report.holding == expected);
     SECTION("a service that is not divided by key says nothing of keys")
     {
@@ -144,20 +144,20 @@
     {
         const auto named
                 = decodeReport(makeCall("/-/instances/i-7/deregister", R"({"born":1700})"));
-        cr_assert(named.assume_value().report.backend == BackendLife("i-7", 1700));
+        cr_assert(named.assume_value().report.backend == BackendIncarnation("i-7", 1700));
     }
     SECTION("the answer grants rows, or says nothing of keys at all")
     {
-        const HoldOrder order{{{{ShardKey(0), ShardKey(4095)}, Epoch(7), ""},
-                               {{ShardKey(9000), ShardKey(9999)}, Epoch(12), "7a21"}},
-                              milliseconds(4000)};
+        const GrantReply order{{{{ShardKey(0), ShardKey(4095)}, Epoch(7), ""},
+                                {{ShardKey(9000), ShardKey(9999)}, Epoch(12), "7a21"}},
+                               milliseconds(4000)};
         cr_assert(makeReportAck(order).body()
                   == R"({"holds":[[0,4095,7,""],[9000,9999,12,"7a21"]],"hold_time":"4000ms"})");
         cr_assert(makeReportAck(std::nullopt).body() == "{}");
     }
     SECTION("the longest rows that are granted at once fit into 4 KiB")
     {
-        HoldOrder order;
+        GrantReply order;
         order.hold = milliseconds(10000);
         order.rows.resize(GrantTimes{}.rows,
                           {{ShardKey(65535), LastShardKey}, Epoch(99999999), "0123456789abcdef"});
@@ -199,19 +199,19 @@
 {
     const RequestHeaders headers;
     HttpRequest request(http::verb::get, "/b/1", 11);
-    cr_assert(!headers.readTerms(request));
+    cr_assert(!headers.readMetadata(request));
     request.set("X-Wisteriahoist-Attempt-Id", "9c41");
     request.set("X-Wisteriahoist-Deadline-Ms", "1500");
     request.set("X-Wisteriahoist-Shard-Key", "65535");
-    const auto terms = headers.readTerms(request);
+    const auto terms = headers.readMetadata(request);
     cr_assert(terms.has_value() && terms.assume_value().timeLeft == milliseconds(1500));
     cr_assert(terms.assume_value().shardKey == LastShardKey);
     request.set("X-Wisteriahoist-Shard-Key", "65536");
-    cr_assert(!headers.readTerms(request));
+    cr_assert(!headers.readMetadata(request));
     SECTION("what the caller claims about the service beside it does not count")
     {
         request.set("X-Wisteriahoist-Caller-Service", "forged");
-        headers.setTerms(request, {milliseconds(700), "i-7", "mine"});
+        headers.setMetadata(request, {milliseconds(700), "i-7", "mine"});
         cr_assert(request["X-Wisteriahoist-Caller-Service"] == "mine");
         cr_assert(request["X-Wisteriahoist-Deadline-Ms"] == "700");
         cr_assert(request["X-Wisteriahoist-Expect-Instance"] == "i-7");
@@ -221,13 +221,17 @@
 Test(platform_headers, answers)
 {
     const RequestHeaders headers;
-    cr_assert(headers.judge(makeAnswer(200, "9c41", true), "9c41") == AnswerKind::Complete);
-    cr_assert(headers.judge(makeAnswer(500, "9c41", false), "9c41") == AnswerKind::Complete);
-    cr_assert(headers.judge(makeAnswer(200, "9c41", false), "9c41") == AnswerKind::Unproven);
-    cr_assert(headers.judge(makeAnswer(200, "77", true), "9c41") == AnswerKind::Foreign);
+    cr_assert(headers.classifyResponse(makeAnswer(200, "9c41", true), "9c41")
+              == ResponseKind::Complete);
+    cr_assert(headers.classifyResponse(makeAnswer(500, "9c41", false), "9c41")
+              == ResponseKind::Complete);
+    cr_assert(headers.classifyResponse(makeAnswer(200, "9c41", false), "9c41")
+              == ResponseKind::Unverified);
+    cr_assert(headers.classifyResponse(makeAnswer(200, "77", true), "9c41")
+              == ResponseKind::WrongRequest);
     HttpResponse shed = makeAnswer(503, "9c41", false);
     shed.set("X-Wisteriahoist-Not-Executed", "1");
-    cr_assert(headers.judge(shed, "9c41") == AnswerKind::NotExecuted);
+    cr_assert(headers.classifyResponse(shed, "9c41") == ResponseKind::NotExecuted);
     SECTION("Retry-After is in seconds with a fraction")
     {
         HttpResponse response(http::status::service_unavailable, 11);
--- a/test/unit/platform/foreign_bytes_test.cpp
+++ b/test/unit/platform/foreign_bytes_test.cpp
@@ -5,7 +5,7 @@
 #include "platform/json_fields.h"
 #include "platform/route_config_decoder.h"
 #include "platform/settings_reader.h"
-#include "support/story.h"
+#include "support/test_section.h"
 #include "wisteriahoist/v1/control.pb.h"
 
 #include <random>
--- a/test/unit/platform/object_store_test.cpp
+++ b/test/unit/platform/object_store_test.cpp
@@ -4,7 +4,7 @@
 #include "platform/object_store.h"
 #include "platform/standin/object_store_standin.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::platform;
@@ -17,7 +17,7 @@
 struct Fixture {
     Fixture()
     {
-        client.onStanding([this](RecordKind kind, const StoredRecord &record) {
+        client.onConflict([this](RecordKind kind, const StoredRecord &record) {
             standingKind = kind;
             standing = record;
         });
@@ -36,7 +36,7 @@
 
     asio::io_context context;
     ObjectStoreStandin store{context, 1};
-    ObjectStore client{context.get_executor(), {"127.0.0.1", store.openDoor("127.0.0.1")}};
+    ObjectStore client{context.get_executor(), {"127.0.0.1", store.addEndpoint("127.0.0.1")}};
     std::optional<RecordKind> standingKind;
     StoredRecord standing;
 };
@@ -117,7 +117,7 @@
     const auto down = fixture.run(fixture.client.list(RecordKind::Ranges));
     cr_assert(down.assume_error().code == FailureCode::Unavailable);
     fixture.store.faults().down = false;
-    fixture.store.faults().refusedDoors = {0};
+    fixture.store.faults().rejectedEndpoints = {0};
     const auto refused = fixture.run(fixture.client.list(RecordKind::Ranges));
     cr_assert(refused.assume_error().code == FailureCode::Unavailable);
 }
--- a/test/unit/program/sidecar_stop_test.cpp
+++ b/test/unit/program/sidecar_stop_test.cpp
@@ -2,9 +2,9 @@
 
 #include "platform/request_headers.h"
 #include "program/sidecar_program.h"
-#include "support/raw_caller.h"
+#include "support/raw_http_client.h"
 #include "support/scripted_store.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -24,15 +24,15 @@
 class NoBackend final : public BackendControl
 {
 public:
-    asio::awaitable<OrderAnswer> grant(GrantOrder, milliseconds) override
+    asio::awaitable<ControlReply> grant(GrantRequest, milliseconds) override
     {
-        co_return OrderAnswer();
+        co_return ControlReply();
     }
-    asio::awaitable<OrderAnswer> release(ReleaseOrder, milliseconds) override
+    asio::awaitable<ControlReply> release(ReleaseRequest, milliseconds) override
     {
-        co_return OrderAnswer();
+        co_return ControlReply();
     }
-    asio::awaitable<BackendSight> look(milliseconds) override { co_return BackendSight(); }
+    asio::awaitable<BackendStatus> pollOnce(milliseconds) override { co_return BackendStatus(); }
 };
 
 uint16_t findFreePort()
@@ -55,7 +55,7 @@
     settings.readiness = any;
     settings.reports = any;
     settings.metrics = any;
-    settings.shutdown = KilledAfter;
+    settings.shutdownTimeout = KilledAfter;
     return settings;
 }
 
@@ -64,10 +64,11 @@
     StoppingNode() { program.start(); }
 
     /** Runs until @p holds, or for long. */
-    bool runUntil(RawCaller &caller, const std::function<bool()> &holds)
+    bool runUntil(RawHttpClient &caller, const std::function<bool()> &holds)
     {
         const auto end = std::chrono::steady_clock::now() + LongTime;
-        for (caller.look(); !holds() && std::chrono::steady_clock::now() < end; caller.look()) {
+        for (caller.pollOnce(); !holds() && std::chrono::steady_clock::now() < end;
+             caller.pollOnce()) {
             runFor(milliseconds(1));
         }
         return holds();
@@ -95,7 +96,7 @@
                        [](const HttpRequest &) -> Result<BackendCall> {
                            return Failure{FailureCode::Malformed, "none here"};
                        },
-                       [](const std::optional<HoldOrder> &) { return HttpResponse(); },
+                       [](const std::optional<GrantReply> &) { return HttpResponse(); },
                        calls};
     SidecarProgram program{context, settings, ports};
 };
@@ -109,7 +110,7 @@
 Test(sidecar_stop, the_process_ends_after_the_last_connection)
 {
     StoppingNode node;
-    RawCaller caller(node.settings.callers.port);
+    RawHttpClient caller(node.settings.callers.port);
     caller.send(Request);
     cr_assert(node.runUntil(caller, [&]() { return caller.count(Refusal) == 1; }));
     cr_assert_eq(caller.count(Close), 0U);
@@ -143,7 +144,7 @@
 Test(sidecar_stop, the_process_ends_in_time_whatever_is_open)
 {
     StoppingNode node;
-    RawCaller caller(node.settings.callers.port);
+    RawHttpClient caller(node.settings.callers.port);
     caller.send("GET /x HT");
     node.program.beginStop();
     const TimePoint begun = node.program.clock().now();
--- a/test/unit/program/trace_log_test.cpp
+++ b/test/unit/program/trace_log_test.cpp
@@ -1,7 +1,7 @@
 /** @file trace_log_test.cpp The story of one request out of the logs of several processes. */
 
 #include "program/trace_log.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/range/grant_authority_test.cpp
+++ b/test/unit/range/grant_authority_test.cpp
@@ -2,7 +2,7 @@
  * act. */
 
 #include "decision/range/grant_authority.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <random>
 
@@ -19,7 +19,7 @@
 
 GrantAuthority makeAuthority()
 {
-    return {StoreLeaseTimes{}, ContactTimes{}};
+    return {StoreLeaseTimes{}, WitnessTimes{}};
 }
 
 /** Lease, then contact, then the renewal that a new contact asks for. */
@@ -50,19 +50,19 @@
         cr_assert(authority.needsRenewal(Start + milliseconds(2)));
         cr_assert(authority.validUntil() <= Start);
         authority.onRenewed(Both, Start + milliseconds(3));
-        cr_assert(authority.validUntil() == Start + ContactTimes{}.term);
+        cr_assert(authority.validUntil() == Start + WitnessTimes{}.term);
     }
     SECTION("an answer counts from the sending of its heartbeat")
     {
         GrantAuthority valid = makeValid();
         valid.onAcknowledged(FirstWitness, Start + milliseconds(400), Start + milliseconds(900));
-        cr_assert(valid.validUntil() == Start + milliseconds(400) + ContactTimes{}.term);
+        cr_assert(valid.validUntil() == Start + milliseconds(400) + WitnessTimes{}.term);
     }
     SECTION("who is not named by the lease does not count")
     {
         GrantAuthority valid = makeValid();
         valid.onAcknowledged(NodeId(9), Start + milliseconds(400), Start + milliseconds(400));
-        cr_assert(valid.validUntil() == Start + ContactTimes{}.term);
+        cr_assert(valid.validUntil() == Start + WitnessTimes{}.term);
     }
 }
 
@@ -77,14 +77,14 @@
     const TimePoint later = Start + milliseconds(500);
     authority.onAcknowledged(NodeId(4), later, later);
     authority.onAcknowledged(FirstWitness, later, later);
-    cr_assert(authority.validUntil() == Start + ContactTimes{}.term);
+    cr_assert(authority.validUntil() == Start + WitnessTimes{}.term);
     authority.onAcknowledged(SecondWitness, later, later);
-    cr_assert(authority.validUntil() == later + ContactTimes{}.term);
+    cr_assert(authority.validUntil() == later + WitnessTimes{}.term);
     SECTION("afterwards it does")
     {
         authority.onRenewed(changed, later);
         authority.onAcknowledged(NodeId(4), later + milliseconds(400), later + milliseconds(400));
-        cr_assert(authority.validUntil() == later + milliseconds(400) + ContactTimes{}.term);
+        cr_assert(authority.validUntil() == later + milliseconds(400) + WitnessTimes{}.term);
     }
 }
 
@@ -101,12 +101,12 @@
     cr_assert(authority.lease().beginRenewal(sent));
     authority.onRenewalSent(Both);
     authority.lease().onFailed();
-    cr_assert(authority.validUntil() == sent + ContactTimes{}.term);
+    cr_assert(authority.validUntil() == sent + WitnessTimes{}.term);
     SECTION("a witness that it may name extends that")
     {
         const TimePoint heard = sent + milliseconds(400);
         authority.onAcknowledged(FirstWitness, heard, heard);
-        cr_assert(authority.validUntil() == heard + ContactTimes{}.term);
+        cr_assert(authority.validUntil() == heard + WitnessTimes{}.term);
     }
     SECTION("once the store has taken one without witnesses, the lease counts alone again")
     {
@@ -123,7 +123,7 @@
 Test(grant_authority, contact_that_comes_back_wants_a_renewal)
 {
     GrantAuthority authority = makeValid();
-    const TimePoint lapsed = Start + ContactTimes{}.term + milliseconds(100);
+    const TimePoint lapsed = Start + WitnessTimes{}.term + milliseconds(100);
     authority.onRenewed(Both, lapsed); // The lease alone was renewed all the while.
     const TimePoint back = lapsed + milliseconds(100);
     authority.onAcknowledged(FirstWitness, back, back);
@@ -135,7 +135,7 @@
 
 Test(witness_desk, fences)
 {
-    WitnessDesk desk{ContactTimes{}};
+    HeartbeatWitness desk{WitnessTimes{}};
     cr_assert(desk.onHeartbeat(Holder, Life, Start));
     SECTION("not a node that it has just heard of: the taker alone has lost it")
     {
@@ -157,15 +157,15 @@
 
 Test(takeover, waits_for_every_witness)
 {
-    Takeover takeover(ContactTimes{}, Life, {FirstWitness, SecondWitness});
+    Takeover takeover(WitnessTimes{}, Life, {FirstWitness, SecondWitness});
     // The term on a clock that runs 2% slow, and 200 ms for the last grant on its way.
     constexpr milliseconds Wait
-            = ContactTimes{}.term + ContactTimes{}.term / 50 + milliseconds(200);
+            = WitnessTimes{}.term + WitnessTimes{}.term / 50 + milliseconds(200);
     const TimePoint due = Start + Wait;
     takeover.onFenced(FirstWitness, Incarnation(1), Start);
     cr_assert(!takeover.isDue(due));
     takeover.onFenced(SecondWitness, Incarnation(1), Start);
-    cr_assert(!takeover.isDue(Start + ContactTimes{}.term));
+    cr_assert(!takeover.isDue(Start + WitnessTimes{}.term));
     cr_assert(takeover.isDue(due));
     SECTION("a witness that has restarted has forgotten its fence: the wait begins anew")
     {
@@ -175,7 +175,7 @@
     }
     SECTION("without witnesses only the lease decides")
     {
-        cr_assert(!Takeover(ContactTimes{}, Life, {}).isDue(due));
+        cr_assert(!Takeover(WitnessTimes{}, Life, {}).isDue(due));
     }
 }
 
@@ -265,16 +265,17 @@
 
     void restart(size_t witness)
     {
-        desks_[witness] = WitnessDesk(ContactTimes{});
+        desks_[witness] = HeartbeatWitness(WitnessTimes{});
         lives_[witness] = lives_[witness].next();
     }
 
-    static Takeover makeTakeover() { return {ContactTimes{}, Life, {FirstWitness, SecondWitness}}; }
+    static Takeover makeTakeover() { return {WitnessTimes{}, Life, {FirstWitness, SecondWitness}}; }
 
     std::mt19937_64 random_;
     TimePoint now_ = Start;
     GrantAuthority authority_ = makeAuthority();
-    std::vector<WitnessDesk> desks_{WitnessDesk{ContactTimes{}}, WitnessDesk{ContactTimes{}}};
+    std::vector<HeartbeatWitness> desks_{HeartbeatWitness{WitnessTimes{}},
+                                         HeartbeatWitness{WitnessTimes{}}};
     std::vector<Incarnation> lives_{Incarnation(1), Incarnation(1)};
     Takeover takeover_ = makeTakeover();
     uint64_t revision_ = 0;
--- a/test/unit/range/range_keeper_test.cpp
+++ b/test/unit/range/grant_manager_test.cpp
@@ -1,8 +1,8 @@
-/** @file range_keeper_test.cpp Grants, renewals and releases of one node, under lost and late
+/** @file grant_manager_test.cpp Grants, renewals and releases of one node, under lost and late
  * answers. */
 
 #include "support/range_fixture.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <set>
 
@@ -15,16 +15,16 @@
 constexpr milliseconds Lapse = GrantTimes{}.hold + GrantTimes{}.hold / 50 + milliseconds(100);
 
 /** Sends what is due and answers it with @p result. */
-void grantAll(RangeKeeper &keeper, OrderResult result, TimePoint now)
+void grantAll(GrantManager &keeper, ControlResult result, TimePoint now)
 {
-    for (const GrantOrder &order : keeper.takeDueGrants(Forever, now)) {
+    for (const GrantRequest &order : keeper.takeDueGrants(Forever, now)) {
         keeper.onGrantEnd(order, result);
     }
 }
 
-void releaseAll(RangeKeeper &keeper, OrderResult result, TimePoint now)
+void releaseAll(GrantManager &keeper, ControlResult result, TimePoint now)
 {
-    for (const ReleaseOrder &order : keeper.takeDueReleases(now)) {
+    for (const ReleaseRequest &order : keeper.takeDueReleases(now)) {
         keeper.onReleaseEnd(order, result, "token", now);
     }
 }
@@ -33,14 +33,14 @@
 
 Test(range_keeper, admits_only_what_was_confirmed)
 {
-    RangeKeeper keeper = makeKeeper();
+    GrantManager keeper = makeKeeper();
     SECTION("nothing before the first grant is answered")
     {
         cr_assert(!keeper.admits(ShardKey(5), Forever, Start));
     }
     SECTION("own keys afterwards, and nobody else's")
     {
-        grantAll(keeper, OrderResult::Accepted, Start);
+        grantAll(keeper, ControlResult::Accepted, Start);
         cr_assert(keeper.admits(ShardKey(5), Forever, Start));
         cr_assert(!keeper.admits(ShardKey(60000), Forever, Start));
     }
@@ -64,13 +64,13 @@
 // only after the latest grant without an answer has run out.
 Test(range_keeper, an_unanswered_grant_is_outwaited_after_the_release)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const TimePoint renewed = Start + milliseconds(1000);
-    grantAll(keeper, OrderResult::Unanswered, renewed);
+    grantAll(keeper, ControlResult::Unanswered, renewed);
     keeper.beginRelease(KeySpan{});
     const TimePoint released = renewed + milliseconds(300);
-    releaseAll(keeper, OrderResult::Accepted, released);
+    releaseAll(keeper, ControlResult::Accepted, released);
     SECTION("the confirmed release alone is no proof")
     {
         cr_assert(keeper.releasedRanges(released).empty());
@@ -84,10 +84,10 @@
     }
     SECTION("a grant whose answer is still on its way counts as unanswered")
     {
-        RangeKeeper waiting = makeKeeper();
+        GrantManager waiting = makeKeeper();
         (void)waiting.takeDueGrants(Forever, Start);
         waiting.beginRelease(KeySpan{});
-        releaseAll(waiting, OrderResult::Accepted, Start);
+        releaseAll(waiting, ControlResult::Accepted, Start);
         cr_assert(waiting.releasedRanges(Start + milliseconds(100)).empty());
     }
 }
@@ -97,11 +97,11 @@
 // the keys up again, and both were answered. The release may only follow the renewal's answer.
 Test(range_keeper, a_release_waits_for_the_answer_of_a_renewal)
 {
-    RangeKeeper keeper = makeKeeper();
+    GrantManager keeper = makeKeeper();
     const auto orders = keeper.takeDueGrants(Forever, Start);
     keeper.beginRelease({ShardKey(100), ShardKey(200)});
     cr_assert(keeper.takeDueReleases(Start).empty());
-    keeper.onGrantEnd(orders.front(), OrderResult::Accepted);
+    keeper.onGrantEnd(orders.front(), ControlResult::Accepted);
     cr_assert(keeper.takeDueReleases(Start).size() == 1);
 }
 
@@ -110,19 +110,19 @@
 Test(range_keeper, grants_of_an_earlier_life_are_outwaited)
 {
     const TimePoint earlier = Start + milliseconds(4180);
-    RangeKeeper keeper(GrantTimes{}, earlier);
+    GrantManager keeper(GrantTimes{}, earlier);
     keeper.onTable(makeTable(), Self, Start);
-    grantAll(keeper, OrderResult::Accepted, Start);
+    grantAll(keeper, ControlResult::Accepted, Start);
     keeper.beginRelease(KeySpan{});
-    releaseAll(keeper, OrderResult::Accepted, Start);
+    releaseAll(keeper, ControlResult::Accepted, Start);
     cr_assert(keeper.releasedRanges(Start + milliseconds(500)).empty());
     cr_assert(keeper.releasedRanges(earlier).size() == 1);
 }
 
 Test(range_keeper, release_of_a_part)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     keeper.beginRelease({ShardKey(100), ShardKey(200)});
     SECTION("the part is admitted no more, the rest is")
     {
@@ -139,8 +139,8 @@
     }
     SECTION("a confirmed release may be given on, with its token, also after renewals")
     {
-        grantAll(keeper, OrderResult::Accepted, Start + milliseconds(700));
-        releaseAll(keeper, OrderResult::Accepted, Start);
+        grantAll(keeper, ControlResult::Accepted, Start + milliseconds(700));
+        releaseAll(keeper, ControlResult::Accepted, Start);
         const auto released = keeper.releasedRanges(Start);
         cr_assert(released.size() == 1 && released[0].span.size() == 101);
         cr_assert(released[0].handover == "token");
@@ -158,10 +158,10 @@
 // grant has run out on the slowest clock. Given on earlier, two backend servers hold its keys.
 Test(range_keeper, a_lost_release_is_outwaited)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     keeper.beginRelease(KeySpan{});
-    releaseAll(keeper, OrderResult::Unanswered, Start);
+    releaseAll(keeper, ControlResult::Unanswered, Start);
     cr_assert(keeper.releasedRanges(Start + GrantTimes{}.hold).empty());
     cr_assert(keeper.takeDueReleases(Start + milliseconds(100)).size() == 1);
     const auto outwaited = keeper.releasedRanges(Start + Lapse);
@@ -170,8 +170,8 @@
 
 Test(range_keeper, a_refused_fence_is_not_sent_again)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::HigherFence, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::StaleFence, Start);
     cr_assert(keeper.takeDueGrants(Forever, Start + milliseconds(5000)).empty());
     cr_assert(keeper.refusedSpans().size() == 1);
     SECTION("a higher one is")
@@ -187,8 +187,8 @@
 // keeper they are new ranges that were never granted, and it gave them on at once.
 Test(range_keeper, grants_of_before_the_lease_was_lost_are_outwaited)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const RangeHolder renewed{Self.node, Incarnation(2), Self.backend};
     const TimePoint lost = Start + milliseconds(100);
     keeper.onTable(makeTable(), renewed, lost);
@@ -198,14 +198,14 @@
     cr_assert(keeper.releasedRanges(lost).empty());
     SECTION("until the last of them has run out on the slowest clock")
     {
-        const TimePoint lapse = RangeKeeper::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
+        const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
         cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
         cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
     }
     SECTION("also if the table lists them under another fence from one look to the next")
     {
-        RangeKeeper refenced = makeKeeper();
-        grantAll(refenced, OrderResult::Accepted, Start);
+        GrantManager refenced = makeKeeper();
+        grantAll(refenced, ControlResult::Accepted, Start);
         const RangeTable table = giveRange(makeTable(), {ShardKey(0), ShardKey(32767)}, Self, {});
         refenced.onTable(table, Self, lost);
         refenced.beginRelease({ShardKey(0), ShardKey(100)});
@@ -213,7 +213,7 @@
     }
     SECTION("also where they were granted in an answer to a heartbeat")
     {
-        RangeKeeper other = makeKeeper();
+        GrantManager other = makeKeeper();
         (void)other.takeHolds(Start, Forever, Start);
         other.onTable(makeTable(), std::nullopt, lost);
         other.onTable(makeTable(), Self, lost);
@@ -233,50 +233,50 @@
     }
     const GrantTimes times;
     const auto makeListing = [&]() {
-        RangeKeeper keeper(times, NeverTime);
+        GrantManager keeper(times, NeverTime);
         keeper.onTable(table, Self, Start);
         return keeper;
     };
     SECTION("each answer makes room for the next")
     {
-        RangeKeeper keeper = makeListing();
-        const std::vector<GrantOrder> first = keeper.takeDueGrants(Forever, Start);
+        GrantManager keeper = makeListing();
+        const std::vector<GrantRequest> first = keeper.takeDueGrants(Forever, Start);
         cr_assert_eq(first.size(), times.openGrants);
         cr_assert(keeper.takeDueGrants(Forever, Start).empty());
-        keeper.onGrantEnd(first.front(), OrderResult::Accepted);
-        const std::vector<GrantOrder> next = keeper.takeDueGrants(Forever, Start);
+        keeper.onGrantEnd(first.front(), ControlResult::Accepted);
+        const std::vector<GrantRequest> next = keeper.takeDueGrants(Forever, Start);
         cr_assert_eq(next.size(), 1U);
         cr_assert(next.front().span.first > first.back().span.first);
     }
     SECTION("grants that stay without an answer do not keep the others from their turn")
     {
-        RangeKeeper keeper = makeListing();
+        GrantManager keeper = makeListing();
         std::set<KeySpan> granted;
         for (int turn = 0; turn < 4; ++turn) {
             const TimePoint now = Start + turn * milliseconds(400);
-            for (const GrantOrder &order : keeper.takeDueGrants(Forever, now)) {
+            for (const GrantRequest &order : keeper.takeDueGrants(Forever, now)) {
                 granted.insert(order.span);
-                keeper.onGrantEnd(order, OrderResult::Unanswered);
+                keeper.onGrantEnd(order, ControlResult::Unanswered);
             }
         }
         cr_assert_eq(granted.size(), Ranges);
     }
     SECTION("one whose connection was refused waits a moment: at once it would be refused as well")
     {
-        RangeKeeper keeper = makeListing();
-        const std::vector<GrantOrder> open = keeper.takeDueGrants(Forever, Start);
-        const GrantOrder &first = open.front();
-        for (const GrantOrder &order : open) {
+        GrantManager keeper = makeListing();
+        const std::vector<GrantRequest> open = keeper.takeDueGrants(Forever, Start);
+        const GrantRequest &first = open.front();
+        for (const GrantRequest &order : open) {
             const bool refused = order.span == first.span;
-            keeper.onGrantEnd(order, refused ? OrderResult::NotSent : OrderResult::Accepted);
+            keeper.onGrantEnd(order, refused ? ControlResult::NotSent : ControlResult::Accepted);
         }
         const auto takesAgain = [&](TimePoint now) {
-            const std::vector<GrantOrder> orders = keeper.takeDueGrants(Forever, now);
-            for (const GrantOrder &order : orders) {
-                keeper.onGrantEnd(order, OrderResult::Accepted);
+            const std::vector<GrantRequest> orders = keeper.takeDueGrants(Forever, now);
+            for (const GrantRequest &order : orders) {
+                keeper.onGrantEnd(order, ControlResult::Accepted);
             }
             return std::any_of(orders.begin(), orders.end(),
-                               [&](const GrantOrder &order) { return order.span == first.span; });
+                               [&](const GrantRequest &order) { return order.span == first.span; });
         };
         cr_assert(!takesAgain(Start + milliseconds(50)));
         bool again = false;
@@ -292,11 +292,11 @@
 // answer to the old release then comes; it says nothing of what was sent since.
 Test(range_keeper, the_answer_to_a_release_of_before_the_range_was_listed_anew_counts_no_more)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const KeySpan own{ShardKey(0), ShardKey(32767)};
     keeper.beginRelease(own);
-    const std::vector<ReleaseOrder> old = keeper.takeDueReleases(Start);
+    const std::vector<ReleaseRequest> old = keeper.takeDueReleases(Start);
     cr_assert_eq(old.size(), 1U);
     const RangeHolder renewed{Self.node, Incarnation(2), Self.backend};
     keeper.onTable(makeTable(), renewed, Start);
@@ -308,13 +308,13 @@
     }
     SECTION("the old answer releases nothing, neither before its next release nor after")
     {
-        keeper.onReleaseEnd(old.front(), OrderResult::Accepted, "token", later);
+        keeper.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
         cr_assert(keeper.releasedRanges(later).empty());
-        const std::vector<ReleaseOrder> next = keeper.takeDueReleases(later);
+        const std::vector<ReleaseRequest> next = keeper.takeDueReleases(later);
         cr_assert_eq(next.size(), 1U);
-        keeper.onReleaseEnd(old.front(), OrderResult::Accepted, "token", later);
+        keeper.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
         cr_assert(keeper.releasedRanges(later).empty());
-        keeper.onReleaseEnd(next.front(), OrderResult::Accepted, "token", later);
+        keeper.onReleaseEnd(next.front(), ControlResult::Accepted, "token", later);
         cr_assert_eq(keeper.releasedRanges(later).size(), 1U);
     }
 }
@@ -324,16 +324,16 @@
 // as if nothing were on its way, went on at once, and the late grant took them up again.
 Test(range_keeper, an_unanswered_grant_outlasts_a_release_that_is_not_listed_any_more)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const TimePoint renewed = Start + milliseconds(1000);
-    grantAll(keeper, OrderResult::Unanswered, renewed);
+    grantAll(keeper, ControlResult::Unanswered, renewed);
     keeper.beginRelease(KeySpan{});
     const TimePoint released = renewed + milliseconds(300);
-    releaseAll(keeper, OrderResult::Accepted, released);
+    releaseAll(keeper, ControlResult::Accepted, released);
     const RangeHolder next{Self.node, Incarnation(2), Self.backend};
     keeper.onTable(makeTable(), next, released);
-    const TimePoint lapse = RangeKeeper::lapseOf(GrantTimes{}, GrantTimes{}.hold, renewed);
+    const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, renewed);
     SECTION("what was ever granted has not run out before it")
     {
         cr_assert(keeper.lastLapse() >= lapse);
@@ -342,7 +342,7 @@
     {
         keeper.onTable(adoptRanges(makeTable(), next), next, released);
         keeper.beginRelease(KeySpan{});
-        releaseAll(keeper, OrderResult::Accepted, released);
+        releaseAll(keeper, ControlResult::Accepted, released);
         cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
         cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
     }
@@ -353,12 +353,12 @@
 // listed, so nothing was remembered of the part, and it went on at once while the old grant ran.
 Test(range_keeper, a_part_that_is_not_listed_any_more_is_outwaited)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const KeySpan part{ShardKey(100), ShardKey(200)};
     keeper.onTable(giveRange(makeTable(), part, Self, {}), Self, Start);
     keeper.beginRelease(part);
-    const TimePoint lapse = RangeKeeper::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
+    const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
     cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
     cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
 }
@@ -369,11 +369,11 @@
 // was leaving under a fence goes on leaving under it.
 Test(range_keeper, a_range_goes_on_leaving_after_its_holder_was_unknown)
 {
-    RangeKeeper keeper = makeKeeper();
-    grantAll(keeper, OrderResult::Accepted, Start);
+    GrantManager keeper = makeKeeper();
+    grantAll(keeper, ControlResult::Accepted, Start);
     const KeySpan part{ShardKey(0), ShardKey(100)};
     keeper.beginRelease(part);
-    releaseAll(keeper, OrderResult::Accepted, Start);
+    releaseAll(keeper, ControlResult::Accepted, Start);
     keeper.onTable(makeTable(), std::nullopt, Start);
     cr_assert_eq(keeper.size(), 0U);
     const TimePoint back = Start + milliseconds(10);
@@ -389,7 +389,7 @@
     }
     SECTION("nor in the answer to a heartbeat")
     {
-        const std::optional<HoldOrder> order = keeper.takeHolds(back, Forever, back);
+        const std::optional<GrantReply> order = keeper.takeHolds(back, Forever, back);
         cr_assert(order && order->rows.size() == 1 && !order->rows.front().span.overlaps(part));
     }
     SECTION("under a later fence it is a new range")
--- a/test/unit/range/heartbeat_grants_test.cpp
+++ b/test/unit/range/heartbeat_grants_test.cpp
@@ -2,7 +2,7 @@
  * overtaken ones. */
 
 #include "support/range_fixture.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 #include <random>
@@ -15,22 +15,22 @@
 const KeySpan OwnHalf{ShardKey(0), ShardKey(32767)};
 const Epoch OwnFence{1};
 
-HoldReport reportOf(std::vector<HeldKeys> holds, std::vector<ReleasedKeys> released = {})
+HeldKeysReport reportOf(std::vector<HeldKeys> holds, std::vector<ReleasedKeys> released = {})
 {
     return {std::move(holds), std::move(released)};
 }
 
 /** A heartbeat that shows @p report arrives and is answered at once. */
-std::optional<HoldOrder> answer(RangeKeeper &keeper, const HoldReport &report, TimePoint now)
+std::optional<GrantReply> answer(GrantManager &keeper, const HeldKeysReport &report, TimePoint now)
 {
     keeper.onHolds(report, now);
     return keeper.takeHolds(now, Forever, now);
 }
 
 /** A keeper whose own half of the keys was granted, and shown by the next heartbeat. */
-RangeKeeper makeHolding(TimePoint &now)
+GrantManager makeHolding(TimePoint &now)
 {
-    RangeKeeper keeper = makeKeeper();
+    GrantManager keeper = makeKeeper();
     (void)answer(keeper, reportOf({}), now);
     now += milliseconds(870);
     (void)answer(keeper, reportOf({{OwnHalf, OwnFence}}), now);
@@ -41,8 +41,8 @@
 
 Test(heartbeat_grants, an_answer_grants_all_that_is_to_be_held)
 {
-    RangeKeeper keeper = makeKeeper();
-    const std::optional<HoldOrder> order = answer(keeper, reportOf({}), Start);
+    GrantManager keeper = makeKeeper();
+    const std::optional<GrantReply> order = answer(keeper, reportOf({}), Start);
     cr_assert(order && order->rows.size() == 1 && order->rows.front().span == OwnHalf);
     cr_assert(order->hold == GrantTimes{}.hold);
     SECTION("requests are handed over when the answer has surely arrived, until the hold is over")
@@ -55,7 +55,7 @@
     }
     SECTION("the hold counts from the heartbeat, not from an answer that was held back")
     {
-        RangeKeeper slow = makeKeeper();
+        GrantManager slow = makeKeeper();
         slow.onHolds(reportOf({}), Start);
         const TimePoint later = Start + milliseconds(500);
         cr_assert(slow.takeHolds(Start, Forever, later)->hold == GrantTimes{}.hold);
@@ -63,7 +63,7 @@
     }
     SECTION("no grant outlasts the lease, and with too little of it nothing is said of keys")
     {
-        RangeKeeper bound = makeKeeper();
+        GrantManager bound = makeKeeper();
         const TimePoint until = Start + milliseconds(900);
         cr_assert(bound.takeHolds(Start, until, Start)->hold == milliseconds(900));
         cr_assert(!bound.takeHolds(Start, Start + milliseconds(100), Start));
@@ -77,7 +77,7 @@
 // asked for.
 Test(heartbeat_grants, what_a_heartbeat_does_not_show_is_not_held)
 {
-    RangeKeeper keeper = makeKeeper();
+    GrantManager keeper = makeKeeper();
     (void)answer(keeper, reportOf({}), Start);
     const TimePoint next = Start + milliseconds(870);
     keeper.onHolds(reportOf({}), next);
@@ -87,7 +87,7 @@
     SECTION("a second time: its fence is used up")
     {
         const TimePoint after = next + milliseconds(870);
-        const std::optional<HoldOrder> order = answer(keeper, reportOf({}), after);
+        const std::optional<GrantReply> order = answer(keeper, reportOf({}), after);
         cr_assert(keeper.refusedSpans() == std::vector<KeySpan>{OwnHalf});
         cr_assert(order && order->rows.empty());
     }
@@ -98,13 +98,13 @@
 Test(heartbeat_grants, keys_are_released_by_leaving_them_out)
 {
     TimePoint now = Start;
-    RangeKeeper keeper = makeHolding(now);
+    GrantManager keeper = makeHolding(now);
     const KeySpan moved{ShardKey(100), ShardKey(199)};
     const std::vector<HeldKeys> rest{{{ShardKey(0), ShardKey(99)}, OwnFence},
                                      {{ShardKey(200), ShardKey(32767)}, OwnFence}};
     keeper.beginRelease(moved);
     now += milliseconds(870);
-    const std::optional<HoldOrder> order = answer(keeper, reportOf({{OwnHalf, OwnFence}}), now);
+    const std::optional<GrantReply> order = answer(keeper, reportOf({{OwnHalf, OwnFence}}), now);
     cr_assert(order->rows.size() == 2);
     cr_assert(!keeper.admits(ShardKey(150), Forever, now));
     cr_assert(keeper.admits(ShardKey(50), Forever, now));
@@ -153,7 +153,7 @@
 // given on only when its latest grant has run out.
 Test(heartbeat_grants, an_answer_on_its_way_is_outwaited)
 {
-    RangeKeeper keeper = makeKeeper();
+    GrantManager keeper = makeKeeper();
     (void)answer(keeper, reportOf({}), Start);
     keeper.beginRelease(OwnHalf);
     const TimePoint early = Start + milliseconds(300);
@@ -162,7 +162,7 @@
     const TimePoint late = Start + GrantTimes{}.answerCounts;
     keeper.onHolds(reportOf({}), late);
     cr_assert(keeper.releasedRanges(late).empty());
-    const TimePoint lapse = RangeKeeper::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
+    const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
     cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
     cr_assert(keeper.releasedRanges(lapse).size() == 1);
 }
@@ -174,7 +174,7 @@
 Test(heartbeat_grants, a_release_under_an_earlier_fence_does_not_count)
 {
     TimePoint now = Start;
-    RangeKeeper keeper = makeHolding(now);
+    GrantManager keeper = makeHolding(now);
     const RangeTable back = giveRange(makeTable(), OwnHalf, Self, {});
     keeper.onTable(back, Self, now);
     now += GrantTimes{}.hold + milliseconds(200); // The grants of before have run out.
@@ -199,7 +199,7 @@
 Test(heartbeat_grants, another_life_under_the_same_id_is_granted_anew)
 {
     TimePoint now = Start;
-    RangeKeeper keeper = makeHolding(now);
+    GrantManager keeper = makeHolding(now);
     const RangeHolder reborn{Self.node, Self.life, {"b-1", 1700000000000}};
     const RangeTable table = adoptRanges(makeTable(), reborn);
     cr_assert(table.find(ShardKey(5))->fence > OwnFence);
@@ -220,11 +220,11 @@
         }
         table = giveRange(std::move(table), span, Self, "0123456789abcdef");
     }
-    RangeKeeper keeper(GrantTimes{}, NeverTime);
+    GrantManager keeper(GrantTimes{}, NeverTime);
     keeper.onTable(table, Self, Start);
     const KeySpan last = table.spanOf(table.entries.size() - 1);
     const HeldKeys held{last, table.entries.back().fence};
-    const std::optional<HoldOrder> order = answer(keeper, reportOf({held}), Start);
+    const std::optional<GrantReply> order = answer(keeper, reportOf({held}), Start);
     cr_assert_eq(order->rows.size(), GrantTimes{}.rows);
     cr_assert_eq(order->rows.size() + order->leftOut, keeper.size());
     cr_assert(order->rows.front().span == last);
@@ -236,10 +236,10 @@
 class ModelBackend
 {
 public:
-    HoldReport report(TimePoint now)
+    HeldKeysReport report(TimePoint now)
     {
         lapse(now);
-        HoldReport made;
+        HeldKeysReport made;
         for (const Row &row : rows_) {
             made.holds.push_back({row.span, row.fence});
         }
@@ -247,7 +247,7 @@
         return made;
     }
 
-    void take(const HoldOrder &order, TimePoint heartbeatSentAt, TimePoint now)
+    void take(const GrantReply &order, TimePoint heartbeatSentAt, TimePoint now)
     {
         lapse(now);
         if (now - heartbeatSentAt > std::chrono::seconds(1)) {
@@ -260,7 +260,7 @@
         for (const Row &row : rows_) {
             releaseUnnamed(order, row);
         }
-        for (const OfferedKeys &offered : order.rows) {
+        for (const GrantedKeys &offered : order.rows) {
             kept.push_back({offered.span, offered.fence, until});
         }
         rows_ = std::move(kept);
@@ -292,7 +292,7 @@
 
     /** Releases the keys of @p row that @p order leaves out; its rows are in order of their keys.
      */
-    void releaseUnnamed(const HoldOrder &order, const Row &row)
+    void releaseUnnamed(const GrantReply &order, const Row &row)
     {
         uint32_t next = row.span.first.value();
         const auto releaseTo = [&](uint32_t end) {
@@ -300,7 +300,7 @@
                 released_.push_back({{ShardKey(next), ShardKey(end - 1)}, "token"});
             }
         };
-        for (const OfferedKeys &named : order.rows) {
+        for (const GrantedKeys &named : order.rows) {
             if (named.fence == row.fence && named.span.overlaps(row.span)) {
                 releaseTo(named.span.first.value());
                 next = std::max(next, named.span.last.value() + 1);
@@ -322,7 +322,7 @@
 /** An answer on its way to the backend server. */
 struct AnswerOnTheWay {
     uint32_t number = 0; ///< Of the heartbeat that it answers.
-    HoldOrder order;
+    GrantReply order;
     TimePoint sentAt;
     TimePoint arrivesAt;
 };
@@ -339,7 +339,7 @@
             return std::uniform_int_distribution<int>(0, most)(random);
         };
         TimePoint now = Start;
-        RangeKeeper keeper = makeKeeper();
+        GrantManager keeper = makeKeeper();
         ModelBackend backend;
         std::vector<AnswerOnTheWay> answers;
         TimePoint nextHeartbeat = Start;
@@ -362,18 +362,18 @@
                 cr_assert(!backend.holds(released.span, now), "seed %u step %d", seed, step);
                 for (const AnswerOnTheWay &one : answers) {
                     const bool counts = one.arrivesAt - one.sentAt <= std::chrono::seconds(1);
-                    for (const OfferedKeys &row : one.order.rows) {
+                    for (const GrantedKeys &row : one.order.rows) {
                         cr_assert(!counts || !row.span.overlaps(released.span),
                                   "seed %u step %d: on its way", seed, step);
                     }
                 }
             }
             const TimePoint sentAt = now;
-            const HoldReport shown = backend.report(now);
+            const HeldKeysReport shown = backend.report(now);
             const TimePoint receivedAt = now + milliseconds(draw(4) == 0 ? draw(700) : 1);
             keeper.onHolds(shown, receivedAt);
             const TimePoint answeredAt = receivedAt + milliseconds(draw(2) == 0 ? draw(500) : 0);
-            const std::optional<HoldOrder> order
+            const std::optional<GrantReply> order
                     = keeper.takeHolds(receivedAt, Forever, answeredAt);
             now = answeredAt;
             nextHeartbeat = sentAt + std::chrono::seconds(1); // Given up, if no answer comes.
--- a/test/unit/range/ownership_exchange.cpp
+++ b/test/unit/range/ownership_exchange.cpp
@@ -21,8 +21,8 @@
     const uint64_t life = ++lives_[index];
     ended_[index] = 0;
     const std::string id = "b" + std::to_string(index + 1);
-    backends_[index].start(keepsId ? BackendLife(id, life)
-                                   : BackendLife(id + "-" + std::to_string(life), life));
+    backends_[index].start(keepsId ? BackendIncarnation(id, life)
+                                   : BackendIncarnation(id + "-" + std::to_string(life), life));
     tell("backend server starts as " + backends_[index].life().text(), index);
     heartbeat(index, life);
 }
@@ -56,9 +56,9 @@
     report.backend = backend.life();
     report.service = Service;
     report.slots = Slots;
-    const HoldReport holding = backend.report(sentAt);
+    const HeldKeysReport holding = backend.report(sentAt);
     report.sequence = backend.sequence();
-    if (settings_.form == GrantForm::Heartbeat) {
+    if (settings_.form == GrantDelivery::Heartbeat) {
         report.holding = holding;
     }
     if (!isTroubled()) {
@@ -97,7 +97,7 @@
     const uint64_t number = report.sequence;
     tellReport(report, sentAt, index);
     nodes_[index]->onReport(
-            report, [this, index, life, number, sentAt](const std::optional<HoldOrder> &order) {
+            report, [this, index, life, number, sentAt](const std::optional<GrantReply> &order) {
                 const uint64_t copies = isTroubled() ? dice_.below(3) : 1; // None: lost or cut.
                 for (uint64_t copy = 0; copy < copies; ++copy) {
                     agenda_.after(drawDelay(), [this, index, life, number, order, sentAt]() {
@@ -124,7 +124,7 @@
 }
 
 void OwnershipWorld::readAnswer(size_t index, uint64_t life, uint64_t number,
-                                const std::optional<HoldOrder> &order, TimePoint sentAt)
+                                const std::optional<GrantReply> &order, TimePoint sentAt)
 {
     if (lives_[index] != life) {
         return;
@@ -137,7 +137,7 @@
     }
     if (order && settings_.tell) {
         std::string rows;
-        for (const OfferedKeys &row : order->rows) {
+        for (const GrantedKeys &row : order->rows) {
             rows += " " + spanText(row.span) + " fence " + std::to_string(row.fence.value());
         }
         tell("reads an answer to heartbeat " + std::to_string(number) + " sent at "
@@ -150,11 +150,11 @@
 }
 
 /** One without an answer may be carried out seconds later, and more than once. */
-void OwnershipWorld::sendGrant(size_t index, const GrantOrder &order, milliseconds timeout,
+void OwnershipWorld::sendGrant(size_t index, const GrantRequest &order, milliseconds timeout,
                                const OrderDone &done)
 {
     if (refuses(index)) {
-        agenda_.after(dice_.between(1, 3), [done]() { done({OrderResult::NotSent, {}}); });
+        agenda_.after(dice_.between(1, 3), [done]() { done({ControlResult::NotSent, {}}); });
         return;
     }
     const bool isTroubled = this->isTroubled();
@@ -167,16 +167,16 @@
                     = isTroubled ? dice_.between(0, LateGrantMs) : dice_.between(0, 5);
             agenda_.after(wait, [this, index, life, order, done, isTroubled, arrivedAt]() {
                 if (lives_[index] == life) {
-                    const OrderDone ignored = [](const OrderAnswer &) {};
+                    const OrderDone ignored = [](const ControlReply &) {};
                     carryOutGrant(index, order, arrivedAt, isTroubled ? ignored : done);
                 }
             });
         });
     }
-    agenda_.after(timeout, [done]() { done(OrderAnswer{}); });
+    agenda_.after(timeout, [done]() { done(ControlReply{}); });
 }
 
-void OwnershipWorld::carryOutGrant(size_t index, const GrantOrder &order, TimePoint arrivedAt,
+void OwnershipWorld::carryOutGrant(size_t index, const GrantRequest &order, TimePoint arrivedAt,
                                    const OrderDone &done)
 {
     tell("takes up the call for " + spanText(order.span) + " under fence "
@@ -185,15 +185,15 @@
     const bool taken
             = backends_[index].grant(order.span, order.fence, order.hold, arrivedAt, agenda_.now());
     checkTaken(index);
-    done({taken ? OrderResult::Accepted : OrderResult::HigherFence, {}});
+    done({taken ? ControlResult::Accepted : ControlResult::StaleFence, {}});
 }
 
 /** Answered when the running work has ended, unless that takes too long. */
-void OwnershipWorld::sendRelease(size_t index, const ReleaseOrder &order, milliseconds timeout,
+void OwnershipWorld::sendRelease(size_t index, const ReleaseRequest &order, milliseconds timeout,
                                  const OrderDone &done)
 {
     tell("release sent for " + spanText(order.span), index);
-    agenda_.after(timeout, [done]() { done(OrderAnswer{}); });
+    agenda_.after(timeout, [done]() { done(ControlReply{}); });
     if (refuses(index) || isTroubled()) {
         return;
     }
@@ -207,7 +207,7 @@
         }
         agenda_.at(ended, [this, index, life, done]() {
             if (lives_[index] == life) {
-                done({OrderResult::Accepted, "token"});
+                done({ControlResult::Accepted, "token"});
             }
         });
     });
--- a/test/unit/range/ownership_faults.cpp
+++ b/test/unit/range/ownership_faults.cpp
@@ -30,7 +30,7 @@
         }
         const milliseconds busy = dice_.between(20, 1500);
         if (backends_[index].work(key, busy, agenda_.now())) {
-            nodes_[index]->onWork(key, busy);
+            nodes_[index]->recordBusyTime(key, busy);
         }
     }
     agenda_.after(WorkEvery, [this]() { drawWork(); });
--- a/test/unit/range/ownership_node.cpp
+++ b/test/unit/range/ownership_node.cpp
@@ -105,29 +105,31 @@
 public:
     explicit Orders(SimulatedNode &node) : node_(node) { }
 
-    asio::awaitable<OrderAnswer> grant(GrantOrder order, milliseconds timeout) override
+    asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds timeout) override
     {
         // The connection opens late, or the process stands still meanwhile.
         const std::unique_ptr<WakeTimer> opening = node_.timers_.make();
         co_await opening->wait(node_.world_.drawConnectTime());
         if (node_.clock_.now() > order.sendBy) {
-            OrderAnswer late;
-            late.result = OrderResult::TooLate;
+            ControlReply late;
+            late.result = ControlResult::TooLate;
             co_return late;
         }
-        const auto outcome = std::make_shared<Outcome<OrderAnswer>>(node_.context_, OrderAnswer{});
+        const auto outcome
+                = std::make_shared<Outcome<ControlReply>>(node_.context_, ControlReply{});
         node_.world_.sendGrant(node_.index_, order, timeout, bringing(outcome));
         co_return co_await outcome->wait();
     }
 
-    asio::awaitable<OrderAnswer> release(ReleaseOrder order, milliseconds timeout) override
+    asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds timeout) override
     {
-        const auto outcome = std::make_shared<Outcome<OrderAnswer>>(node_.context_, OrderAnswer{});
+        const auto outcome
+                = std::make_shared<Outcome<ControlReply>>(node_.context_, ControlReply{});
         node_.world_.sendRelease(node_.index_, order, timeout, bringing(outcome));
         co_return co_await outcome->wait();
     }
 
-    asio::awaitable<BackendSight> look(milliseconds) override { co_return BackendSight{}; }
+    asio::awaitable<BackendStatus> pollOnce(milliseconds) override { co_return BackendStatus{}; }
 
 private:
     SimulatedNode &node_;
@@ -177,9 +179,10 @@
     self_.slots = OwnershipWorld::Slots;
     self_.failureDomain = "d" + std::to_string(index + 1);
     const RangeDutyPorts ports{context_, clock_, timers_, random_, *store_, *orders_, *peers_};
-    duty_ = std::make_unique<RangeDuty>(ports, view_, monitor_, loads_, self_, GrantTimes{});
-    monitor_.askWork([this]() { return world_.backends_[index_].isWorking(world_.agenda_.now()); });
-    duty_->probeWith([this](const MemberRecord &member) { return probe(member); });
+    duty_ = std::make_unique<RangeController>(ports, view_, monitor_, loads_, self_, GrantTimes{});
+    monitor_.setBusyCheck(
+            [this]() { return world_.backends_[index_].isWorking(world_.agenda_.now()); });
+    duty_->setPeerProbe([this](const MemberRecord &member) { return probe(member); });
     peers_->serve(std::string(ProbePath),
                   [this](std::string body) { return answerProbe(std::move(body)); });
 }
@@ -236,10 +239,10 @@
     if (changed) {
         duty_->wake();
     }
-    std::optional<HoldOrder> order;
+    std::optional<GrantReply> order;
     if (report.holding && monitor_.isNewest(report) && duty_->grantsByHeartbeat()) {
         const bool atOnce = changed || monitor_.state() != BackendState::Ready;
-        order = co_await duty_->answerReport(*report.holding, atOnce, receivedAt);
+        order = co_await duty_->handleHeartbeat(*report.holding, atOnce, receivedAt);
     }
     answer(order);
 }
@@ -266,7 +269,7 @@
         if (world_.refuses(index_)) {
             (void)monitor_.onRefusedConnection();
         } else if (id != monitor_.backend().id) {
-            (void)monitor_.onOtherLife(id, clock_.now());
+            (void)monitor_.onOtherIncarnation(id, clock_.now());
         } else {
             (void)monitor_.onAnswer(clock_.now());
         }
@@ -290,11 +293,11 @@
 /** Looks at a backend server that refuses connections until it answers; notes a silent one. */
 void SimulatedNode::lookAround()
 {
-    if (monitor_.isRefusing()) {
+    if (monitor_.refusesConnections()) {
         onLook();
     }
     post([this]() {
-        if (clock_.now() - monitor_.heardAt() > SilentAfter && monitor_.onSilence()) {
+        if (clock_.now() - monitor_.heardAt() > SilentAfter && monitor_.onNoResponse()) {
             duty_->wake();
         }
     });
@@ -319,9 +322,9 @@
     return duty_->check(key, clock_.now()) == RequestEnd::None;
 }
 
-void SimulatedNode::onWork(ShardKey key, Duration busy)
+void SimulatedNode::recordBusyTime(ShardKey key, Duration busy)
 {
-    duty_->onWork(key, busy, clock_.now());
+    duty_->recordBusyTime(key, busy, clock_.now());
 }
 
 asio::awaitable<bool> SimulatedNode::probe(MemberRecord member)
--- a/test/unit/range/ownership_sequence_test.cpp
+++ b/test/unit/range/ownership_sequence_test.cpp
@@ -2,7 +2,7 @@
  * twice. */
 
 #include "support/ownership_world.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <iostream>
 
@@ -27,7 +27,7 @@
     uint64_t takeovers = 0;
 };
 
-WorldSettings grantingBy(GrantForm form, uint32_t blocks = 1)
+WorldSettings grantingBy(GrantDelivery form, uint32_t blocks = 1)
 {
     WorldSettings settings;
     settings.form = form;
@@ -72,7 +72,7 @@
 // Guards against keys that are held twice, or served by nobody once faults have ended.
 Test(ownership_sequence, no_key_is_held_twice_where_calls_grant)
 {
-    const Verdict verdict = play(grantingBy(GrantForm::Call));
+    const Verdict verdict = play(grantingBy(GrantDelivery::Call));
     cr_assert(verdict.failed.empty());
     cr_assert(reachesMoves(verdict));
 }
@@ -80,7 +80,7 @@
 // Guards against the same in the second form of grants.
 Test(ownership_sequence, no_key_is_held_twice_where_heartbeats_grant)
 {
-    const Verdict verdict = play(grantingBy(GrantForm::Heartbeat));
+    const Verdict verdict = play(grantingBy(GrantDelivery::Heartbeat));
     cr_assert(verdict.failed.empty());
     cr_assert(reachesMoves(verdict));
 }
@@ -88,7 +88,7 @@
 // Guards against the same where one move of keys takes several writes.
 Test(ownership_sequence, no_key_is_held_twice_where_the_table_has_several_records)
 {
-    for (const GrantForm form : {GrantForm::Call, GrantForm::Heartbeat}) {
+    for (const GrantDelivery form : {GrantDelivery::Call, GrantDelivery::Heartbeat}) {
         const Verdict verdict = play(grantingBy(form, SeveralRecords));
         cr_assert(verdict.failed.empty());
         cr_assert(reachesMoves(verdict));
--- a/test/unit/range/range_block_test.cpp
+++ b/test/unit/range/range_block_test.cpp
@@ -4,7 +4,7 @@
 
 #include "adapter/codec/record_codec.h"
 #include "duty/fleet_view.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -52,7 +52,7 @@
     cr_assert_eq(chooseLayout(41).count, 256U);
     cr_assert_eq(chooseLayout(18000).count, 1024U);
     cr_assert(BlockLayout{256}.spanOf(255).last == LastShardKey);
-    cr_assert(!isLayoutCount(3) && !isLayoutCount(0) && !isLayoutCount(2048));
+    cr_assert(!isValidBlockCount(3) && !isValidBlockCount(0) && !isValidBlockCount(2048));
 }
 
 Test(range_block, what_is_cut_apart_joins_to_the_same_table)
--- a/test/unit/range/range_duty_log_test.cpp
+++ b/test/unit/range/range_controller_log_test.cpp
@@ -1,9 +1,10 @@
-/** @file range_duty_log_test.cpp The log says on what proof a range goes to another holder. */
+/** @file range_controller_log_test.cpp The log says on what proof a range goes to another holder.
+ */
 
 #include "adapter/log/event_log.h"
 #include "support/json_text.h"
 #include "support/ownership_fleet.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <sstream>
 
@@ -122,10 +123,10 @@
     OwnershipNode &second = fleet.add(2, "b-2");
     first.grantByHeartbeat();
     second.grantByHeartbeat();
-    std::optional<HoldOrder> order;
+    std::optional<GrantReply> order;
     uint64_t sequence = 1;
-    const auto beat = [&](const HoldReport &report) {
-        HoldReport sent = report;
+    const auto beat = [&](const HeldKeysReport &report) {
+        HeldKeysReport sent = report;
         sent.sequence = ++sequence;
         order = fleet.heartbeat(first, "b-1", sequence, sent);
         return order.has_value();
@@ -134,9 +135,9 @@
         cr_assert(fleet.reaches([&]() { return beat({}) && !order->rows.empty(); }, Patience));
     });
     cr_assert(!offered.empty() && numberOf(offered.back(), "sequence") == sequence);
-    HoldReport holding;
-    HoldReport released;
-    for (const OfferedKeys &row : order->rows) {
+    HeldKeysReport holding;
+    HeldKeysReport released;
+    for (const GrantedKeys &row : order->rows) {
         holding.holds.push_back({row.span, row.fence});
         released.released.push_back({row.span, "token"});
     }
@@ -182,13 +183,13 @@
     SECTION("in the answer to a heartbeat")
     {
         node.grantByHeartbeat();
-        std::optional<HoldOrder> order;
+        std::optional<GrantReply> order;
         uint64_t sequence = 1;
         Lines lines = logged(LogEvent::RangesOffered, [&]() {
             putTable();
             cr_assert(fleet.reaches(
                     [&]() {
-                        HoldReport report;
+                        HeldKeysReport report;
                         report.sequence = ++sequence;
                         order = fleet.heartbeat(node, "b-1", sequence, report);
                         return order.has_value() && order->rows.size() == 32;
--- a/test/unit/range/range_duty_test.cpp
+++ b/test/unit/range/range_controller_test.cpp
@@ -1,8 +1,8 @@
-/** @file range_duty_test.cpp Keys of a service as nodes come, crash, fall silent and lose their
- * store. */
+/** @file range_controller_test.cpp Keys of a service as nodes come, crash, fall silent and lose
+ * their store. */
 
 #include "support/ownership_fleet.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -189,7 +189,7 @@
 {
     OwnershipFleet fleet;
     fleet.add(1, "b-1");
-    fleet.store().loseAnswers(4);
+    fleet.store().loseResponses(4);
     cr_assert(fleet.reaches([&]() { return isServedByOne(fleet, Low); }, Patience));
 }
 
@@ -221,7 +221,7 @@
     first.duty.beginStop();
     (void)fleet.reaches([]() { return false; }, std::chrono::seconds(1));
     cr_assert(fleet.admitting(Low) == before);
-    cr_assert(!first.duty.hasKeysToGive(fleet.clock().now()));
+    cr_assert(!first.duty.hasTransferableKeys(fleet.clock().now()));
     SECTION("and gives them away when it is back")
     {
         fleet.store().setDown(false);
@@ -390,7 +390,7 @@
         }
         // The answers to the hand-over are lost, not those to renewals of leases.
         if (!(written == known)) {
-            fleet.store().loseAnswers(1);
+            fleet.store().loseResponses(1);
         }
         known = written;
     });
@@ -411,28 +411,29 @@
     OwnershipNode &node = fleet.add(1, "b-1");
     node.grantByHeartbeat();
     const auto holding = [&]() {
-        std::optional<HoldOrder> order;
+        std::optional<GrantReply> order;
         uint64_t sequence = 2;
         (void)fleet.reaches(
                 [&]() {
-                    order = fleet.heartbeat(node, "b-1", ++sequence, HoldReport{});
+                    order = fleet.heartbeat(node, "b-1", ++sequence, HeldKeysReport{});
                     return order && !order->rows.empty();
                 },
                 Patience);
         return order;
     };
-    const std::optional<HoldOrder> before = holding();
+    const std::optional<GrantReply> before = holding();
     cr_assert(before && before->rows.size() == 1);
-    const std::optional<HoldOrder> reborn
-            = fleet.heartbeat(node, {"b-1", 1700000000000}, 1, HoldReport{});
+    const std::optional<GrantReply> reborn
+            = fleet.heartbeat(node, {"b-1", 1700000000000}, 1, HeldKeysReport{});
     cr_assert(!reborn || reborn->rows.empty());
     SECTION("it gets them under a higher one")
     {
-        std::optional<HoldOrder> after;
+        std::optional<GrantReply> after;
         uint64_t sequence = 1;
         cr_assert(fleet.reaches(
                 [&]() {
-                    after = fleet.heartbeat(node, {"b-1", 1700000000000}, ++sequence, HoldReport{});
+                    after = fleet.heartbeat(node, {"b-1", 1700000000000}, ++sequence,
+                                            HeldKeysReport{});
                     return after && !after->rows.empty();
                 },
                 Patience));
--- a/test/unit/range/range_planner_test.cpp
+++ b/test/unit/range/range_planner_test.cpp
@@ -1,7 +1,7 @@
 /** @file range_planner_test.cpp Who gets which keys when a holder leaves or is too busy. */
 
 #include "decision/range/range_planner.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/range/range_table_test.cpp
+++ b/test/unit/range/range_table_test.cpp
@@ -3,7 +3,7 @@
 
 #include "decision/range/range_type.h"
 #include "support/property.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/range/store_lease_test.cpp
+++ b/test/unit/range/store_lease_test.cpp
@@ -2,7 +2,7 @@
  */
 
 #include "decision/range/store_lease.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/request/adaptive_throttle_test.cpp
+++ b/test/unit/request/adaptive_throttle_test.cpp
@@ -1,7 +1,7 @@
 /** @file adaptive_throttle_test.cpp First nodes of a fleet whose instances are all full. */
 
 #include "decision/request/adaptive_throttle.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 #include <queue>
--- a/test/unit/request/admission_control_test.cpp
+++ b/test/unit/request/admission_control_test.cpp
@@ -2,7 +2,7 @@
  * slots. */
 
 #include "decision/request/admission_control.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/request/admission_queue_test.cpp
+++ b/test/unit/request/admission_queue_test.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/request/admission_queue.h"
 #include "decision/request/slot_limiter.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/request/attempt_policy_test.cpp
+++ b/test/unit/request/attempt_policy_test.cpp
@@ -2,8 +2,8 @@
  */
 
 #include "decision/request/attempt_policy.h"
-#include "decision/request/repeat_budget.h"
-#include "support/story.h"
+#include "decision/request/fleet_retry_budget.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
@@ -114,12 +114,12 @@
 {
     constexpr size_t Nodes = 11;
     constexpr size_t RequestsEach = 100;
-    FleetBudget fleet;
+    FleetRetryLimits fleet;
     fleet.slack = 62;
     const TimePoint start{std::chrono::hours(1)};
     size_t taken = 0;
     for (size_t node = 0; node < Nodes; ++node) {
-        RepeatBudget budget(fleet);
+        FleetRetryBudget budget(fleet);
         for (size_t request = 0; request < RequestsEach; ++request) {
             const TimePoint now = start + milliseconds(100 * request);
             budget.onRequest(now);
--- a/test/unit/request/circuit_breaker_test.cpp
+++ b/test/unit/request/circuit_breaker_test.cpp
@@ -1,7 +1,7 @@
 /** @file circuit_breaker_test.cpp A backend server that refuses requests although it has room. */
 
 #include "decision/request/circuit_breaker.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/request/deduplication_table_test.cpp
+++ b/test/unit/request/deduplication_table_test.cpp
@@ -1,7 +1,7 @@
 /** @file deduplication_table_test.cpp A key that must not be repeated runs at most once. */
 
 #include "decision/request/deduplication_table.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <rapidcheck.h>
 
--- a/test/unit/request/gate_fault_test.cpp
+++ b/test/unit/request/gate_fault_test.cpp
@@ -3,7 +3,7 @@
 #include "adapter/clock/boot_clock_adapter.h"
 #include "duty/gate_duty.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/request/ingress_test.cpp
+++ b/test/unit/request/ingress_test.cpp
@@ -3,7 +3,7 @@
 #include "core/hash_func.h"
 #include "standin/node_duties.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/request/instance_choice_test.cpp
+++ b/test/unit/request/instance_choice_test.cpp
@@ -3,7 +3,7 @@
 #include "decision/request/inflight_registry.h"
 #include "decision/request/keyless_balancer.h"
 #include "decision/request/outlier_detector.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <array>
 #include <deque>
--- a/test/unit/request/outcome_table_test.cpp
+++ b/test/unit/request/outcome_table_test.cpp
@@ -1,7 +1,7 @@
 /** @file outcome_table_test.cpp What a caller may be told, for each stage and each end. */
 
 #include "decision/request/outcome_table.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
@@ -13,7 +13,7 @@
         for (size_t endIndex = 0; endIndex < RequestEndCount; ++endIndex) {
             const auto stage = static_cast<RequestStage>(stageIndex);
             const auto end = static_cast<RequestEnd>(endIndex);
-            const Verdict verdict = decideOutcome(stage, end);
+            const OutcomeDecision verdict = decideOutcome(stage, end);
             const bool refusedWhole
                     = stage == RequestStage::Answered && end == RequestEnd::BackendRefused;
             const bool beforeHandOver
@@ -36,26 +36,27 @@
     {
         cr_assert(decideOutcome(RequestStage::Answered, RequestEnd::BackendRefused).outcome
                   == Outcome::NotRun);
-        cr_assert(decideOutcome(RequestStage::HalfAnswered, RequestEnd::BackendRefused).outcome
+        cr_assert(decideOutcome(RequestStage::PartlyAnswered, RequestEnd::BackendRefused).outcome
                   == Outcome::Unknown);
     }
     SECTION("a wrong owner is 421 and not run")
     {
-        const Verdict verdict = decideOutcome(RequestStage::Queued, RequestEnd::NotOwner);
+        const OutcomeDecision verdict = decideOutcome(RequestStage::Queued, RequestEnd::NotOwner);
         cr_assert(verdict.status == 421 && verdict.outcome == Outcome::NotRun);
     }
     SECTION("each refusal that may pass says when to come back")
     {
         for (const RequestEnd end :
-             {RequestEnd::Overloaded, RequestEnd::PatienceOver, RequestEnd::NoLease,
-              RequestEnd::NoBackend, RequestEnd::Unreachable, RequestEnd::KeyTableFull}) {
+             {RequestEnd::Overloaded, RequestEnd::QueueTimeout, RequestEnd::NoLease,
+              RequestEnd::NoBackend, RequestEnd::Unreachable, RequestEnd::DeduplicationTableFull}) {
             cr_assert(decideOutcome(RequestStage::Received, end).retryAfter.count() > 0);
         }
     }
     SECTION("an earlier sending of the same key may have run, wherever this one stands")
     {
         for (const RequestEnd end :
-             {RequestEnd::KeyInProgress, RequestEnd::KeyLost, RequestEnd::KeyTooOld}) {
+             {RequestEnd::IdempotencyKeyInProgress, RequestEnd::IdempotencyOutcomeUnknown,
+              RequestEnd::IdempotencyKeyTooOld}) {
             cr_assert(decideOutcome(RequestStage::Received, end).outcome == Outcome::Unknown);
         }
     }
--- a/test/unit/request/request_router_test.cpp
+++ b/test/unit/request/request_router_test.cpp
@@ -6,7 +6,7 @@
 #include "duty/ingress_message.h"
 #include "platform/request_headers.h"
 #include "support/scripted_backend.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -16,12 +16,12 @@
 constexpr milliseconds LongTime{20000}; ///< Far above what a test takes.
 
 /** Keys play no part here. */
-class NoKeys final : public KeyHolding
+class NoKeys final : public KeyOwnership
 {
 public:
     RequestEnd check(ShardKey, TimePoint) const override { return RequestEnd::NoLease; }
     std::optional<KeyOwner> ownerOf(ShardKey) const override { return std::nullopt; }
-    void onWork(ShardKey, Duration, TimePoint) override { }
+    void recordBusyTime(ShardKey, Duration, TimePoint) override { }
     double demand(TimePoint) override { return 0; }
     bool isLeaving() const override { return false; }
 };
@@ -80,7 +80,7 @@
         request.set(http::field::host, "a.example");
         request.set("X-Wisteriahoist-Attempt-Id", "q");
         return runUntil(context,
-                        router.onRequest(std::move(request), std::make_shared<CallerWatch>()));
+                        router.onRequest(std::move(request), std::make_shared<DisconnectSignal>()));
     }
 
     asio::io_context context;
@@ -127,7 +127,7 @@
         reply.set_status(200);
         reply.set_reached_backend(true);
         if (givenTo) {
-            reply = makeVerdictReply(RequestStage::Received, RequestEnd::NotOwner);
+            reply = makeOutcomeReply(RequestStage::Received, RequestEnd::NotOwner);
             reply.set_owner_node(givenTo->node.value());
             reply.set_epoch(givenTo->fence.value());
         }
@@ -174,9 +174,9 @@
 Test(request_router, a_node_that_ends_takes_no_request_that_may_outlive_it)
 {
     Fixture fixture({{answerWith("200 OK")}});
-    fixture.gate.endAt(fixture.clock.now() + LongTime);
+    fixture.gate.setShutdownDeadline(fixture.clock.now() + LongTime);
     cr_assert_eq(fixture.ask().result_int(), 200U);
-    fixture.gate.endAt(fixture.clock.now() + milliseconds(1000));
+    fixture.gate.setShutdownDeadline(fixture.clock.now() + milliseconds(1000));
     cr_assert_eq(fixture.ask().result_int(), 503U);
     cr_assert_eq(fixture.backend->requests().size(), 1U);
 }
@@ -188,10 +188,10 @@
 {
     Fixture fixture({{answerWith("200 OK")}});
     Neighbour neighbour(fixture);
-    fixture.gate.endAt(fixture.clock.now() + LongTime + LongTime);
+    fixture.gate.setShutdownDeadline(fixture.clock.now() + LongTime + LongTime);
     cr_assert_eq(fixture.ask().result_int(), 200U);
     cr_assert_eq(neighbour.hops, 1U);
-    fixture.gate.endAt(fixture.clock.now() + milliseconds(1000));
+    fixture.gate.setShutdownDeadline(fixture.clock.now() + milliseconds(1000));
     cr_assert_eq(fixture.ask().result_int(), 503U);
     cr_assert_eq(neighbour.hops, 1U);
 }
--- a/test/unit/request/retry_policy_test.cpp
+++ b/test/unit/request/retry_policy_test.cpp
@@ -1,7 +1,7 @@
 /** @file retry_policy_test.cpp Retries are safe, bounded, and within the deadline. */
 
 #include "decision/request/retry_policy.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
@@ -9,9 +9,9 @@
 
 constexpr TimePoint Start{std::chrono::hours(1)};
 
-FailedTry makeFailed(Outcome outcome, bool idempotent)
+FailedAttempt makeFailed(Outcome outcome, bool idempotent)
 {
-    FailedTry failed;
+    FailedAttempt failed;
     failed.outcome = outcome;
     failed.idempotent = idempotent;
     failed.deadlineLeft = milliseconds(1000);
@@ -31,20 +31,20 @@
     }
     SECTION("the last try is not followed by another")
     {
-        FailedTry failed = makeFailed(Outcome::NotRun, false);
+        FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         failed.attempt = budget.limits().attempts - 1;
         cr_assert(!decideRetry(failed, budget, 0.5, Start).retry);
     }
     SECTION("a pause past the deadline is given up at once")
     {
-        FailedTry failed = makeFailed(Outcome::NotRun, false);
+        FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         failed.retryAfter = milliseconds(200);
         failed.deadlineLeft = milliseconds(150);
         cr_assert(!decideRetry(failed, budget, 0.5, Start).retry);
     }
     SECTION("the other side's pause is kept, and jitter spreads the own one")
     {
-        FailedTry failed = makeFailed(Outcome::NotRun, false);
+        FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         const auto early = decideRetry(failed, budget, 0.0, Start);
         const auto late = decideRetry(failed, budget, 0.99, Start);
         cr_assert(early.pause < late.pause);
--- a/test/unit/request/route_resolver_test.cpp
+++ b/test/unit/request/route_resolver_test.cpp
@@ -1,7 +1,7 @@
 /** @file route_resolver_test.cpp A request finds its service, its rule and its key. */
 
 #include "decision/request/route_resolver.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/routing/route_table_test.cpp
+++ b/test/unit/routing/route_table_test.cpp
@@ -2,7 +2,7 @@
  * weight. */
 
 #include "decision/routing/route_table.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/routing/slice_delta_test.cpp
+++ b/test/unit/routing/slice_delta_test.cpp
@@ -2,7 +2,7 @@
 
 #include "decision/routing/slice_delta.h"
 #include "decision/routing/slice_table_func.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <random>
 
--- a/test/unit/routing/slice_table_test.cpp
+++ b/test/unit/routing/slice_table_test.cpp
@@ -1,7 +1,7 @@
 /** @file slice_table_test.cpp Every hash lies in exactly one range. */
 
 #include "decision/routing/slice_table.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/settings/declaration_files_test.cpp
+++ b/test/unit/settings/declaration_files_test.cpp
@@ -3,7 +3,7 @@
 
 #include "adapter/settings/declaration_loader.h"
 #include "adapter/settings/node_settings.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 #include <filesystem>
--- a/test/unit/settings/node_settings_test.cpp
+++ b/test/unit/settings/node_settings_test.cpp
@@ -1,7 +1,7 @@
 /** @file node_settings_test.cpp Settings are checked whole: every finding at once. */
 
 #include "adapter/settings/node_settings.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/signals/event_log_test.cpp
+++ b/test/unit/signals/event_log_test.cpp
@@ -2,7 +2,7 @@
 
 #include "adapter/log/event_log.h"
 #include "support/json_text.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 #include <sstream>
--- a/test/unit/signals/health_test.cpp
+++ b/test/unit/signals/health_test.cpp
@@ -1,7 +1,7 @@
 /** @file health_test.cpp When a node says that it is alive and that it is ready. */
 
 #include "decision/health/health_decision.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <algorithm>
 
@@ -41,9 +41,9 @@
 {
     // What the operator sees: /healthz turns to 503 and names the duty. The duty's event loop
     // hangs; its timer no longer records a turn; after the bound the process counts as stuck.
-    const std::vector<LoopTurn> turns{{"gate", at(0)}, {"control", at(500)}};
-    cr_assert(findStuckDuties(turns, at(0) + LoopTurnBound).empty());
-    const auto stuck = findStuckDuties(turns, at(1) + LoopTurnBound);
+    const std::vector<LoopActivity> turns{{"gate", at(0)}, {"control", at(500)}};
+    cr_assert(findStalledLoops(turns, at(0) + LoopStallTimeout).empty());
+    const auto stuck = findStalledLoops(turns, at(1) + LoopStallTimeout);
     cr_assert_eq(stuck.size(), 1);
     cr_assert(stuck.front() == "gate");
 }
--- a/test/unit/signals/metrics_test.cpp
+++ b/test/unit/signals/metrics_test.cpp
@@ -1,7 +1,7 @@
 /** @file metrics_test.cpp The metrics page and the distributions behind it. */
 
 #include "adapter/metrics/metric_registry.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/signals/bounded_event_test.cpp
+++ b/test/unit/signals/rate_limited_event_test.cpp
@@ -1,8 +1,8 @@
-/** @file bounded_event_test.cpp Lines that a budget leaves out are counted in the log. */
+/** @file rate_limited_event_test.cpp Lines that a budget leaves out are counted in the log. */
 
-#include "adapter/log/bounded_event.h"
+#include "adapter/log/rate_limited_event.h"
 #include "support/json_text.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <sstream>
 
@@ -32,7 +32,7 @@
 // A log with lines missing read as if nothing had happened meanwhile.
 Test(signals, a_row_of_dropped_lines_ends_with_one_that_counts_them)
 {
-    BoundedEvent event(LogEvent::RangesOffered, 1, 2);
+    RateLimitedEvent event(LogEvent::RangesOffered, 1, 2);
     const auto logAt = [&event](TimePoint now) {
         if (event.tryTake(now)) {
             event.log({{"ranges", uint64_t(1)}});
@@ -43,7 +43,7 @@
         const auto lines = linesOf([&]() {
             logAt(Start);
             logAt(Start);
-            event.tellDropped(Start);
+            event.logDropped(Start);
         });
         cr_assert_eq(lines.size(), 2);
     }
@@ -52,7 +52,7 @@
         const auto lines = linesOf([&]() {
             logAt(Start + milliseconds(100));
             logAt(Start + milliseconds(200));
-            event.tellDropped(Start + milliseconds(300));
+            event.logDropped(Start + milliseconds(300));
         });
         cr_assert(lines.empty());
         cr_assert_eq(event.dropped(), 2);
@@ -65,7 +65,7 @@
         cr_assert(lines.front().at("of").as_string() == "ranges-offered");
         cr_assert_eq(lines.front().at("lines").to_number<int>(), 2);
         cr_assert_eq(lines.front().at("since_ms").to_number<int>(), 2900);
-        cr_assert(linesOf([&]() { event.tellDropped(Start + std::chrono::seconds(9)); }).empty());
+        cr_assert(linesOf([&]() { event.logDropped(Start + std::chrono::seconds(9)); }).empty());
     }
     SECTION("while lines go on being dropped, the counts leave room for the event's own lines")
     {
--- a/test/unit/signals/signals_settings_test.cpp
+++ b/test/unit/signals/signals_settings_test.cpp
@@ -1,7 +1,7 @@
 /** @file signals_settings_test.cpp The table [signals] of a node's settings. */
 
 #include "adapter/settings/signals_settings.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
@@ -35,7 +35,7 @@
                                               findings);
         cr_assert(findings.empty());
         cr_assert(settings.trace.isEnabled());
-        cr_assert_float_eq(settings.trace.sampleShare, 0.01, 1e-9);
+        cr_assert_float_eq(settings.trace.sampleRatio, 0.01, 1e-9);
         cr_assert(settings.severity == LogSeverity::Warning);
     }
     SECTION("a name instead of an IP number, two sinks and an unknown entry: all at once")
--- a/test/unit/signals/span_export_test.cpp
+++ b/test/unit/signals/span_export_test.cpp
@@ -2,7 +2,7 @@
 
 #include "adapter/trace/otlp_encoder.h"
 #include "support/json_text.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/signals/trace_context_test.cpp
+++ b/test/unit/signals/trace_context_test.cpp
@@ -1,7 +1,7 @@
 /** @file trace_context_test.cpp The traceparent header and who decides about sampling. */
 
 #include "adapter/trace/trace_context.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <array>
 
--- a/test/unit/soak/fault_plan_test.cpp
+++ b/test/unit/soak/fault_plan_test.cpp
@@ -2,7 +2,7 @@
  */
 
 #include "soak/fault_plan.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <set>
 
--- a/test/unit/soak/soak_audit_test.cpp
+++ b/test/unit/soak/soak_audit_test.cpp
@@ -3,7 +3,7 @@
  */
 
 #include "soak/soak_audit.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::soak;
@@ -50,7 +50,7 @@
         arrived.method = mayRepeat ? "GET" : "POST";
         arrived.target = "/x/" + attempt;
         arrived.timeLeft = milliseconds(1000);
-        audit.onRunBegun("a", service, arrived, now);
+        audit.onRequestStarted("a", service, arrived, now);
     }
 
     void answer(const std::string &attempt, unsigned status, TimePoint now)
@@ -59,8 +59,8 @@
         answer.status = status;
         answer.sent = true;
         if (status == 200) {
-            answer.answeredFor = attempt;
-            answer.proof = "a";
+            answer.answeredAttempt = attempt;
+            answer.serverSeal = "a";
             answer.body = "ran " + attempt + " at one";
         }
         audit.onAnswered(attempt, answer, now);
@@ -109,7 +109,7 @@
         fixture.audit.onGranted("b", All, Epoch(2), at(2500), at(5000));
         fixture.audit.onReleased("b", All);
         fixture.audit.onGranted("a", All, Epoch(3), at(3000), at(6000));
-        fixture.audit.onEnded("a");
+        fixture.audit.onTerminated("a");
         fixture.audit.onGranted("b", All, Epoch(4), at(3100), at(6000));
         cr_assert(fixture.brokeNothing());
     }
@@ -177,8 +177,8 @@
         platform::CallerAnswer answer;
         answer.status = 200;
         answer.sent = true;
-        answer.answeredFor = "q";
-        answer.proof = "a";
+        answer.answeredAttempt = "q";
+        answer.serverSeal = "a";
         answer.body = "ran q at one";
         fixture.audit.onAnswered("r", answer, at(50));
         cr_assert(fixture.broke(Promise::OwnAnswer));
@@ -248,7 +248,7 @@
 Test(soak_audit, requests_after_a_leaving)
 {
     Fixture fixture;
-    fixture.audit.onLeavingAcknowledged("a", at(0));
+    fixture.audit.onDrainAcknowledged("a", at(0));
     fixture.send("r", true, at(2000));
     fixture.run("r", true, at(2100));
     fixture.answer("r", 200, at(2150));
--- a/test/unit/standin/backend_standin_test.cpp
+++ b/test/unit/standin/backend_standin_test.cpp
@@ -2,7 +2,7 @@
  */
 
 #include "standin/backend_standin.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
--- a/test/unit/standin/key_leases_test.cpp
+++ b/test/unit/standin/key_leases_test.cpp
@@ -3,7 +3,7 @@
  */
 
 #include "platform/standin/key_leases.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::platform;
@@ -20,7 +20,7 @@
 Test(key_leases, grants_and_releases)
 {
     KeyLeases leases;
-    cr_assert(leases.heldOrAtWork(Start).empty());
+    cr_assert(leases.heldOrInUse(Start).empty());
     cr_assert(leases.grant(Low, Epoch(3), Until));
     cr_assert(leases.holds(ShardKey(99), Start) && !leases.holds(ShardKey(100), Start));
     SECTION("until the lease has run out")
@@ -57,7 +57,7 @@
     SECTION("a row for each fence")
     {
         const std::vector<HeldKeys> rows{{Low, Epoch(1)}, {High, Epoch(2)}};
-        cr_assert(leases.heldOrAtWork(Start) == rows);
+        cr_assert(leases.heldOrInUse(Start) == rows);
     }
     SECTION("what an answer leaves out is what is held outside of it")
     {
@@ -72,7 +72,7 @@
         leases.release(Low, Epoch(1), Start);
         const KeySpan worked{ShardKey(7), ShardKey(7)};
         const std::vector<HeldKeys> rows{{worked, Epoch(1)}, {High, Epoch(2)}};
-        cr_assert(leases.heldOrAtWork(Start) == rows);
+        cr_assert(leases.heldOrInUse(Start) == rows);
         cr_assert(leases.isBusy(Low) && !leases.isBusy(High));
         leases.endWork(ShardKey(7));
         cr_assert(!leases.isBusy(Low));
--- a/test/unit/standin/request_audit_test.cpp
+++ b/test/unit/standin/request_audit_test.cpp
@@ -1,7 +1,7 @@
 /** @file request_audit_test.cpp The audit sees each kind of broken promise. */
 
 #include "standin/request_audit.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 
--- a/test/unit/store/shared_watch_test.cpp
+++ b/test/unit/store/shared_watch_test.cpp
@@ -5,7 +5,7 @@
 #include "support/scripted_backend.h"
 #include "support/scripted_store.h"
 #include "support/shifted_clock.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/store/store_relay_test.cpp
+++ b/test/unit/store/store_relay_test.cpp
@@ -5,7 +5,7 @@
 #include "adapter/clock/boot_clock_adapter.h"
 #include "support/scripted_backend.h"
 #include "support/scripted_store.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
--- a/test/unit/store/store_sync_test.cpp
+++ b/test/unit/store/store_sync_test.cpp
@@ -3,7 +3,7 @@
 #include "duty/store_sync.h"
 #include "support/scripted_backend.h"
 #include "support/scripted_store.h"
-#include "support/story.h"
+#include "support/test_section.h"
 
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
@@ -88,16 +88,17 @@
 
     SECTION("for a short time a watch may be behind")
     {
-        fixture.sync.onPeerNews({{RecordKind::Configuration, missed}}, begun);
-        fixture.sync.onPeerNews({{RecordKind::Configuration, missed}},
-                                begun + times.longestLag - milliseconds(1));
+        fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}}, begun);
+        fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}},
+                                     begun + times.longestLag - milliseconds(1));
         fixture.context.restart();
         fixture.context.run_for(milliseconds(20));
         cr_assert_eq(fixture.view.routes().version(), 4U);
     }
     SECTION("then the records are listed")
     {
-        fixture.sync.onPeerNews({{RecordKind::Configuration, missed}}, begun + times.longestLag);
+        fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}},
+                                     begun + times.longestLag);
         cr_assert(fixture.reaches(7));
         cr_assert(fixture.sync.news().at(RecordKind::Configuration) == missed);
     }
--- a/tool/measure/trace.cpp
+++ b/tool/measure/trace.cpp
@@ -122,7 +122,7 @@
 
 Trace makeOneKey(TraceMaker &maker, const std::string &name)
 {
-    Trace trace = maker.make(name, 24, PotegladWeights);
+    Trace trace = maker.make(name, 24, UnavailableTimeWeights);
     maker.addHot(trace, maker.pick(1), 0.4,
                  [](seconds now) { return progress(now, seconds(120), seconds(60)); });
     trace.shifts.push_back({seconds(120), seconds(180)});
@@ -131,7 +131,7 @@
 
 Trace makeHotSet(TraceMaker &maker)
 {
-    Trace trace = maker.make("hot_830", 100, PotegladWeights);
+    Trace trace = maker.make("hot_830", 100, UnavailableTimeWeights);
     const auto fade = [](seconds now) { return progress(now, seconds(120), seconds(60)); };
     maker.addHot(trace, maker.pick(830), 0.5, [fade](seconds now) { return 1 - fade(now); });
     maker.addHot(trace, maker.pick(830), 0.5, fade);
@@ -141,7 +141,7 @@
 
 Trace makeHoliday(TraceMaker &maker)
 {
-    Trace trace = maker.make("holiday_weekend", 4, PotegladWeights);
+    Trace trace = maker.make("holiday_weekend", 4, UnavailableTimeWeights);
     trace.length = seconds(480);
     maker.addHot(trace, maker.pick(5), 0.5, [](seconds now) {
         return progress(now, seconds(120), seconds(60)) - progress(now, seconds(300), seconds(60));
@@ -163,7 +163,7 @@
 {
     constexpr int Batches = 4;
     constexpr seconds BatchLength{120};
-    Trace trace = maker.make("reports_night", 5, KalahariWeights);
+    Trace trace = maker.make("reports_night", 5, ChurnWeights);
     trace.length = seconds(120) + BatchLength * Batches;
     for (int batch = 0; batch < Batches; ++batch) {
         const seconds start = seconds(120) + BatchLength * batch;
@@ -177,7 +177,7 @@
 
 Trace makeServerLost(TraceMaker &maker)
 {
-    Trace trace = maker.make("server_lost", 24, PotegladWeights);
+    Trace trace = maker.make("server_lost", 24, UnavailableTimeWeights);
     trace.instances = [views = makeInstances(24)](seconds now) {
         std::vector<InstanceView> result = views;
         result[4].live = now < seconds(120);
@@ -189,7 +189,7 @@
 
 Trace makeDomainLost(TraceMaker &maker)
 {
-    Trace trace = maker.make("failure_domain_lost", 24, PotegladWeights);
+    Trace trace = maker.make("failure_domain_lost", 24, UnavailableTimeWeights);
     trace.length = seconds(420);
     trace.instances = [views = makeInstances(24)](seconds now) {
         std::vector<InstanceView> result = views;
@@ -209,7 +209,7 @@
 {
     constexpr uint32_t Count = 24;
     constexpr seconds Pace{15};
-    Trace trace = maker.make("rolling_replacement", Count, PotegladWeights);
+    Trace trace = maker.make("rolling_replacement", Count, UnavailableTimeWeights);
     trace.length = seconds(120) + Pace * Count + seconds(180);
     trace.instances = [Pace](seconds now) {
         std::vector<InstanceView> result;
@@ -237,7 +237,7 @@
 {
     TraceMaker maker(seed);
     std::vector<Trace> traces;
-    traces.push_back(maker.make("steady_zipf", 24, PotegladWeights));
+    traces.push_back(maker.make("steady_zipf", 24, UnavailableTimeWeights));
     traces.push_back(makeOneKey(maker, "one_key"));
     traces.push_back(makeHotSet(maker));
     traces.push_back(makeHoliday(maker));
@@ -247,7 +247,7 @@
     traces.push_back(makeRolling(maker));
     traces.push_back(makeOneKey(maker, "one_key_lag_10s"));
     traces.back().reports.lag = seconds(10);
-    traces.push_back(maker.make("reports_lie", 24, PotegladWeights));
+    traces.push_back(maker.make("reports_lie", 24, UnavailableTimeWeights));
     traces.back().reports.from = seconds(60);
     traces.back().reports.factors = {{NodeId(3), 0.01}, {NodeId(8), 10.0}};
     traces.push_back(makeServerLost(maker));
--- a/tool/request_bench/request_bench.cpp
+++ b/tool/request_bench/request_bench.cpp
@@ -31,7 +31,7 @@
  * loop, so that processor time is that of one thread.
  */
 struct Bench {
-    Bench(milliseconds workTime, milliseconds patience, RetryLimits retries)
+    Bench(milliseconds workTime, milliseconds queueTimeout, RetryLimits retries)
         : first(context, First, RingLength, retries), second(context, Second, RingLength, retries),
           backend(context, "127.0.0.1", 0, makeBehaviour(workTime))
     {
@@ -39,7 +39,7 @@
         RouteRule rule;
         rule.repetition = Repetition::Idempotent;
         rule.deadline = milliseconds(1000);
-        rule.patience = patience;
+        rule.queueTimeout = queueTimeout;
         ServiceDeclaration service;
         service.name = "profiles";
         service.host = "s";
@@ -169,9 +169,9 @@
     }
 }
 
-void measureLoad(double multiple, const char *name, milliseconds patience, RetryLimits retries)
+void measureLoad(double multiple, const char *name, milliseconds queueTimeout, RetryLimits retries)
 {
-    Bench bench(WorkTime, patience, retries);
+    Bench bench(WorkTime, queueTimeout, retries);
     Goodput goodput;
     const double capacity = Slots / std::chrono::duration<double>(WorkTime).count();
     const auto work = [&]() -> asio::awaitable<void> {
--- a/tool/soak/fault_driver.cpp
+++ b/tool/soak/fault_driver.cpp
@@ -2,7 +2,7 @@
 
 #include "soak/fault_driver.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "standin/task_func.h"
 
 #include <csignal>
@@ -33,11 +33,11 @@
     open_ = plan.faults.size();
     for (const Fault &fault : plan.faults) {
         const auto wait = std::chrono::duration_cast<milliseconds>(begun + fault.at - clock_.now());
-        co_await pauseFor(std::max(wait, milliseconds(0)));
+        co_await sleepFor(std::max(wait, milliseconds(0)));
         startTask(context_, carryOut(fault));
     }
     while (open_ > 0) {
-        co_await pauseFor(Step);
+        co_await sleepFor(Step);
     }
 }
 
@@ -123,7 +123,7 @@
         co_await killBackend(fault);
         break;
     default:
-        co_await pauseFor(fault.length);
+        co_await sleepFor(fault.length);
         break;
     }
 }
@@ -132,7 +132,7 @@
 {
     SoakNode &node = fleet_.node(fault.target);
     node.signal(SIGSTOP);
-    co_await pauseFor(fault.length);
+    co_await sleepFor(fault.length);
     audit_.onNodeThawed(fault.target, clock_.now());
     node.signal(SIGCONT);
 }
@@ -140,14 +140,14 @@
 asio::awaitable<void> FaultDriver::leaveBackend(Fault fault)
 {
     fleet_.node(fault.target).backend().leave();
-    co_await pauseFor(fault.length + LeaveTime);
+    co_await sleepFor(fault.length + LeaveTime);
     fleet_.startBackend(fault.target);
 }
 
 asio::awaitable<void> FaultDriver::killBackend(Fault fault)
 {
     fleet_.node(fault.target).backend().kill();
-    co_await pauseFor(fault.length);
+    co_await sleepFor(fault.length);
     fleet_.startBackend(fault.target);
 }
 
--- a/tool/soak/fault_proxy.cpp
+++ b/tool/soak/fault_proxy.cpp
@@ -4,7 +4,7 @@
 
 #include "soak/fault_proxy.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "standin/task_func.h"
 
 #include <array>
@@ -92,7 +92,7 @@
 asio::awaitable<void> FaultProxy::serve(std::shared_ptr<Session> session)
 {
     while (faults_.cutForward || faults_.cutBackward) {
-        co_await pauseFor(HoldStep); // A connection can't be opened through a cut.
+        co_await sleepFor(HoldStep); // A connection can't be opened through a cut.
     }
     boost::system::error_code error;
     const tcp::endpoint endpoint(asio::ip::make_address(target_.ip), target_.port);
@@ -123,10 +123,10 @@
         const size_t count = co_await from.async_read_some(
                 asio::buffer(piece), asio::redirect_error(asio::use_awaitable, error));
         if (!error && faults_.delay.count() > 0) {
-            co_await pauseFor(faults_.delay);
+            co_await sleepFor(faults_.delay);
         }
         while (isHeld()) {
-            co_await pauseFor(HoldStep);
+            co_await sleepFor(HoldStep);
         }
         if (session->ended) {
             break;
--- a/tool/soak/lasting_faults.cpp
+++ b/tool/soak/lasting_faults.cpp
@@ -55,19 +55,19 @@
         backend.lostAnswers = on ? AnswerShare : 0;
         break;
     case FaultKind::BackendGarbles:
-        backend.garbledAnswers = on ? AnswerShare : 0;
+        backend.malformedAnswers = on ? AnswerShare : 0;
         break;
     case FaultKind::BackendFails:
         backend.failedRequests = on ? AnswerShare : 0;
         break;
     case FaultKind::BackendLies:
-        backend.lyingHealth = on;
+        backend.invertHealth = on;
         break;
     case FaultKind::OrdersUnanswered:
-        backend.lostOrderAnswers = on ? OrderShare : 0;
+        backend.lostGrantAnswers = on ? OrderShare : 0;
         break;
     case FaultKind::OrdersLate:
-        backend.lateOrders = on ? OrderShare : 0;
+        backend.delayedGrants = on ? OrderShare : 0;
         break;
     default:
         break;
@@ -92,9 +92,9 @@
         break;
     case FaultKind::StoreRefusesNode:
         if (on) {
-            store.refusedDoors.insert(fault.target);
+            store.rejectedEndpoints.insert(fault.target);
         } else {
-            store.refusedDoors.erase(fault.target);
+            store.rejectedEndpoints.erase(fault.target);
         }
         break;
     default:
--- a/tool/soak/soak_audit.cpp
+++ b/tool/soak/soak_audit.cpp
@@ -98,12 +98,12 @@
     }
 }
 
-void SoakAudit::onEnded(const std::string &backend)
+void SoakAudit::onTerminated(const std::string &backend)
 {
     onReleased(backend, {ShardKey(0), LastShardKey});
 }
 
-void SoakAudit::onLeavingAcknowledged(const std::string &backend, TimePoint now)
+void SoakAudit::onDrainAcknowledged(const std::string &backend, TimePoint now)
 {
     leavingSince_.emplace(backend, now);
 }
@@ -115,8 +115,8 @@
     requests_[request.attempt].sent = request;
 }
 
-void SoakAudit::onRunBegun(const std::string &backend, const std::string &service,
-                           const platform::ArrivedRequest &arrived, TimePoint now)
+void SoakAudit::onRequestStarted(const std::string &backend, const std::string &service,
+                                 const platform::ArrivedRequest &arrived, TimePoint now)
 {
     const auto found = requests_.find(arrived.attempt);
     if (found == requests_.end()) {
@@ -174,7 +174,7 @@
     }
 }
 
-void SoakAudit::onRunEnded(const std::string &attempt, TimePoint now, TimePoint planned)
+void SoakAudit::onRequestFinished(const std::string &attempt, TimePoint now, TimePoint planned)
 {
     const auto found = requests_.find(attempt);
     if (found == requests_.end() || !found->second.answer || !found->second.answer->timedOut) {
@@ -208,10 +208,10 @@
     const platform::CallerAnswer &answer = *request.answer;
     const std::string &attempt = request.sent.attempt;
     const std::string begin = "ran " + attempt + " at ";
-    if (!answer.answeredFor.empty() && answer.answeredFor != attempt) {
-        report(Promise::OwnAnswer, now, attempt + " got the answer to " + answer.answeredFor);
+    if (!answer.answeredAttempt.empty() && answer.answeredAttempt != attempt) {
+        report(Promise::OwnAnswer, now, attempt + " got the answer to " + answer.answeredAttempt);
     } else if (answer.status / 100 == 2
-               && (answer.proof.empty() || answer.body.compare(0, begin.size(), begin) != 0)) {
+               && (answer.serverSeal.empty() || answer.body.compare(0, begin.size(), begin) != 0)) {
         report(Promise::OwnAnswer, now, attempt + " got as success: " + answer.body.substr(0, 80));
     }
 }
@@ -264,7 +264,7 @@
         if (!request.answer) {
             continue;
         }
-        if (request.runs > 0 && promisesNotRun(request.answer->status)) {
+        if (request.runs > 0 && impliesNotExecuted(request.answer->status)) {
             report(Promise::NotRunIsTrue, request.endedAt,
                    attempt + " got " + std::to_string(request.answer->status) + " and ran "
                            + std::to_string(request.runs) + " times");
--- a/tool/soak/soak_audit.h
+++ b/tool/soak/soak_audit.h
@@ -83,11 +83,11 @@
     void onGranted(const std::string &backend, const KeySpan &span, Epoch fence, TimePoint now,
                    TimePoint until) override;
     void onReleased(const std::string &backend, const KeySpan &span) override;
-    void onRunBegun(const std::string &backend, const std::string &service,
-                    const platform::ArrivedRequest &request, TimePoint now) override;
-    void onRunEnded(const std::string &attempt, TimePoint now, TimePoint planned) override;
-    void onLeavingAcknowledged(const std::string &backend, TimePoint now) override;
-    void onEnded(const std::string &backend) override;
+    void onRequestStarted(const std::string &backend, const std::string &service,
+                          const platform::ArrivedRequest &request, TimePoint now) override;
+    void onRequestFinished(const std::string &attempt, TimePoint now, TimePoint planned) override;
+    void onDrainAcknowledged(const std::string &backend, TimePoint now) override;
+    void onTerminated(const std::string &backend) override;
 
     // What is done to the fleet.
     /** @param node Empty: all nodes. */
--- a/tool/soak/soak_callers.cpp
+++ b/tool/soak/soak_callers.cpp
@@ -4,7 +4,7 @@
 #include "soak/soak_callers.h"
 
 #include "adapter/clock/boot_clock_adapter.h"
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "standin/task_func.h"
 
 namespace wisteriahoist::soak {
@@ -85,7 +85,7 @@
         const platform::CallerAnswer answer = co_await send(client, std::move(request), key);
         const milliseconds pause
                 = LeastPause + milliseconds(static_cast<int64_t>(random_() % PauseSpread));
-        co_await pauseFor(std::max(pause, std::min(answer.retryAfter, LongestReturn)));
+        co_await sleepFor(std::max(pause, std::min(answer.retryAfter, LongestReturn)));
     }
 }
 
--- a/tool/soak/soak_configuration.cpp
+++ b/tool/soak/soak_configuration.cpp
@@ -73,7 +73,8 @@
     addedPaths_.push_back("/v" + std::to_string(version_) + "/");
     RouteConfig config;
     config.version = version_;
-    const GrantForm grants = grantsByHeartbeat_ ? GrantForm::Heartbeat : GrantForm::Call;
+    const GrantDelivery grants
+            = grantsByHeartbeat_ ? GrantDelivery::Heartbeat : GrantDelivery::Call;
     for (const std::string &service : {Shelf, Front, Side}) {
         config.services[service] = {service, 0, isSharded(service), grants};
     }
--- a/tool/soak/soak_fleet.cpp
+++ b/tool/soak/soak_fleet.cpp
@@ -2,7 +2,7 @@
 
 #include "soak/soak_fleet.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "soak/soak_configuration.h"
 
 #include <csignal>
@@ -60,7 +60,7 @@
 
 asio::awaitable<void> SoakFleet::startNodeAfter(size_t index, milliseconds wait)
 {
-    co_await pauseFor(wait);
+    co_await sleepFor(wait);
     if (!nodes_[index]->isRunning()) {
         startNode(index);
     }
@@ -73,7 +73,7 @@
     expectedDown_.insert(index);
     node.signal(SIGTERM);
     while (node.isRunning() && clock_.now() - begun < EndBound) {
-        co_await pauseFor(Step);
+        co_await sleepFor(Step);
     }
     if (node.isRunning()) {
         note(node.name() + " did not end in time");
@@ -104,7 +104,7 @@
                 startNode(index);
             }
         }
-        co_await pauseFor(Step);
+        co_await sleepFor(Step);
     }
 }
 
--- a/tool/soak/soak_node.cpp
+++ b/tool/soak/soak_node.cpp
@@ -43,8 +43,8 @@
     settings.reports = {ip, ReportsPort};
     settings.metrics.ip = ip;
     settings.heartbeat = milliseconds(400);
-    settings.longestHold = milliseconds(10000);
-    settings.shutdown = milliseconds(6000);
+    settings.maxHoldTime = milliseconds(10000);
+    settings.shutdownTimeout = milliseconds(6000);
     settings.cpuShare = 0.2;
     return settings;
 }
@@ -57,7 +57,8 @@
     identity.failureDomain = settings.failureDomain;
     identity.sharded = sharded;
     identity.grantsByHeartbeat = soak.grantsByHeartbeat;
-    identity.keepsId = soak.grantsByHeartbeat; // Both are new in the same form of the platform.
+    identity.keepsIdOnRestart
+            = soak.grantsByHeartbeat; // Both are new in the same form of the platform.
     identity.address = settings.backend;
     identity.reports = settings.reports;
     identity.heartbeat = settings.heartbeat;
@@ -74,7 +75,7 @@
       settings_(makeSettings(settings, index, service)),
       storeLink_(context, addressOf(settings, Net::Proxy, index),
                  {addressOf(settings, Net::Store, 0),
-                  store.openDoor(addressOf(settings, Net::Store, 0))}),
+                  store.addEndpoint(addressOf(settings, Net::Store, 0))}),
       peerLink_(context, addressOf(settings, Net::Proxy, index), settings_.peers),
       backend_(context, makeIdentity(settings, settings_, index, sharded), observer,
                settings.seed + index)
--- a/tool/soak/soak_run.cpp
+++ b/tool/soak/soak_run.cpp
@@ -2,7 +2,7 @@
 
 #include "soak/soak_run.h"
 
-#include "adapter/clock/pause_func.h"
+#include "adapter/clock/sleep_func.h"
 #include "platform/route_config_decoder.h"
 #include "platform/standin/settings_writer.h"
 #include "standin/task_func.h"
@@ -81,7 +81,7 @@
     co_await driver_.carryOutAll(plan_);
     note("healed");
     fleet_.heal();
-    co_await pauseFor(LastWrites);
+    co_await sleepFor(LastWrites);
     const bool served = co_await waitServed(RecoveryBound);
     note(served ? "served again" : "not served again");
     co_await endLoad();
@@ -104,10 +104,10 @@
     callers_.stop();
     const TimePoint stopped = clock_.now();
     while (callers_.waiting() > 0 && clock_.now() - stopped < LastAnswers) {
-        co_await pauseFor(Step);
+        co_await sleepFor(Step);
     }
     fleet_.endWatch();
-    co_await pauseFor(LastWrites);
+    co_await sleepFor(LastWrites);
 }
 
 asio::awaitable<bool> SoakRun::waitServed(milliseconds bound)
@@ -115,7 +115,7 @@
     const TimePoint end = clock_.now() + bound;
     std::string missing = "nothing was asked";
     while (!missing.empty() && clock_.now() < end) {
-        co_await pauseFor(ProbePause);
+        co_await sleepFor(ProbePause);
         missing = co_await probeAll();
     }
     if (!missing.empty()) {
@@ -138,7 +138,7 @@
     }
     const auto isOpen = [](const auto &result) { return !result.has_value(); };
     while (std::any_of(missing.begin(), missing.end(), isOpen)) {
-        co_await pauseFor(Step);
+        co_await sleepFor(Step);
     }
     const auto found = std::find_if(missing.begin(), missing.end(),
                                     [](const auto &result) { return !result->empty(); });
