--- a/src/decision/range/grant_authority.cpp
+++ b/src/decision/range/grant_authority.cpp
@@ -1,4 +1,4 @@
-/** @file grant_authority.cpp Until when a node may grant keys. */
+/** @file grant_authority.cpp How long a node may grant keys. */
 
 #include "decision/range/grant_authority.h"
 
@@ -8,31 +8,33 @@
 
 void GrantAuthority::onRenewalSent(const std::set<NodeId> &witnesses)
 {
-    // Until the store has answered nobody knows which of the two lists a taker would read; only a
-    // witness on both of them would be fenced in either case. Where the stored list is empty, a
-    // taker that reads the new one waits from the sending on at the earliest.
-    if (namesNobody() && !witnesses.empty() && lease_.isValid(lease_.sentAt())) {
-        counted_ = witnesses;
-        isBound_ = true;
+    // Until the store has answered, it is unknown which of the two witness lists a node that takes
+    // over would read; only a witness on both lists would be fenced in either case. If the stored
+    // list is empty, a node that reads the new list starts to wait when the renewal is sent at the
+    // earliest.
+    if (hasNoWitnesses() && !witnesses.empty() && lease_.isValid(lease_.sentAt())) {
+        countedWitnesses_ = witnesses;
+        mayNameWitnesses_ = true;
         contactSince_ = NeverTime;
         contactUntil_ = lease_.sentAt() + contact_.term;
         return;
     }
-    std::erase_if(counted_, [&witnesses](NodeId node) { return witnesses.count(node) == 0; });
+    std::erase_if(countedWitnesses_,
+                  [&witnesses](NodeId node) { return witnesses.count(node) == 0; });
 }
 
 void GrantAuthority::onRenewed(const std::set<NodeId> &witnesses, TimePoint sentAt)
 {
     lease_.onRenewed(sentAt);
-    named_ = witnesses;
-    counted_ = witnesses;
-    isBound_ = false;
+    namedWitnesses_ = witnesses;
+    countedWitnesses_ = witnesses;
+    mayNameWitnesses_ = false;
     renewedAt_ = std::max(renewedAt_, sentAt);
 }
 
 void GrantAuthority::onAcknowledged(NodeId witness, TimePoint sentAt, TimePoint now)
 {
-    if (counted_.count(witness) == 0) {
+    if (countedWitnesses_.count(witness) == 0) {
         return;
     }
     if (contactUntil_ <= now) {
@@ -44,21 +46,21 @@
 void GrantAuthority::onRevoked()
 {
     lease_.onRevoked();
-    counted_.clear();
-    named_.clear();
-    isBound_ = false;
+    countedWitnesses_.clear();
+    namedWitnesses_.clear();
+    mayNameWitnesses_ = false;
     contactUntil_ = NeverTime;
     renewedAt_ = NeverTime;
 }
 
 bool GrantAuthority::needsRenewal(TimePoint now) const
 {
-    return !namesNobody() && contactUntil_ > now && renewedAt_ <= contactSince_;
+    return !hasNoWitnesses() && contactUntil_ > now && renewedAt_ <= contactSince_;
 }
 
 TimePoint GrantAuthority::validUntil() const
 {
-    if (namesNobody()) {
+    if (hasNoWitnesses()) {
         return lease_.validUntil();
     }
     if (renewedAt_ <= contactSince_) {
@@ -73,15 +75,15 @@
     if (entry.fenced.count(life) > 0) {
         return false;
     }
-    entry.heard = life;
-    entry.heardAt = now;
+    entry.acknowledged = life;
+    entry.acknowledgedAt = now;
     return true;
 }
 
 bool HeartbeatWitness::onFence(NodeId node, Incarnation life, TimePoint now)
 {
     Entry &entry = entries_[node];
-    if (entry.heard == life && now - entry.heardAt < times_.recent) {
+    if (entry.acknowledged == life && now - entry.acknowledgedAt < times_.recent) {
         return false;
     }
     entry.fenced.insert(life);
@@ -89,7 +91,7 @@
 }
 
 Takeover::Takeover(WitnessTimes times, Incarnation life, std::vector<NodeId> witnesses)
-    : times_(times), life_(life), witnesses_(std::move(witnesses))
+    : times_(times), incarnation_(life), witnesses_(std::move(witnesses))
 { }
 
 void Takeover::onFenced(NodeId witness, Incarnation witnessLife, TimePoint now)
--- a/src/decision/range/grant_authority.h
+++ b/src/decision/range/grant_authority.h
@@ -1,5 +1,5 @@
-/** @file grant_authority.h Until when a node may grant keys: its lease in the store, and its
- * witnesses. */
+/** @file grant_authority.h How long a node may grant keys, based on its lease in the store and on
+ * its witnesses. */
 
 #pragma once
 
@@ -12,34 +12,42 @@
 
 namespace wisteriahoist {
 
-/** Times of the contact with witnesses. */
+/** Timing of the contact with witnesses. */
 struct WitnessTimes {
     /**
-     * How long a witness's answer counts, from the sending of the heartbeat. No grant lasts for
-     * longer, so it is not shorter than those are to be; a lost node's keys wait for it.
+     * How long an acknowledgement by a witness is valid, counted from the sending of the
+     * heartbeat. No grant lasts longer than this term, so it must not be shorter than the intended
+     * grant duration. The keys of a lost node stay unavailable for this long.
      */
     milliseconds term{4000};
     milliseconds heartbeatEvery{400};
-    /** A witness that has answered the node so lately refuses to fence it: the node lives. */
+    /**
+     * A witness refuses to fence a node whose heartbeat it acknowledged within this time, since
+     * the node is alive.
+     */
     milliseconds recent{700};
-    /** Clocks of two machines may differ by 2%. */
+    /** Maximum rate difference between the clocks of two machines. */
     double driftShare = 0.02;
-    /** Time on the way of the last grant that is sent under the term. */
+    /** Allowance for the transmission of the last grant that is sent within the term. */
     milliseconds slack{200};
-    size_t witnesses = 2; ///< One in the own failure domain, the others elsewhere.
+    size_t witnesses = 2; ///< One in the same failure domain, the others elsewhere.
 };
 
 /**
- * The holder's side. A node may grant while its lease in the store is valid *and* one of the
- * witnesses that the lease names has answered lately. The lease alone has to outlast outages of the
- * store, so it would make a lost node's keys wait for 9 s; the witnesses end that wait after 4 s.
+ * The holder's part. A node may grant while its lease in the store is valid *and* one of the
+ * witnesses named in the lease has recently acknowledged a heartbeat. The lease alone has to
+ * outlast outages of the store, so with the lease alone the keys of a lost node would stay
+ * unavailable for 9 s; the witnesses reduce this to 4 s.
+ *
+ * A node that takes over fences the lost node at every witness, waits for the contact term, lets
+ * every witness confirm that the fence was in place during the whole term, and revokes the lease by
+ * a conditional update.
  *
- * A taker fences the node at every witness, waits for the contact term, has every witness confirm
- * that the fence stood all the while, and revokes the lease by a conditional update. Invariant: no
- * grant of this node lasts beyond that revocation. Heartbeats sent after the fence are not
- * answered, so contact is over when the taker revokes; and contact that comes back later (a
- * witness has restarted and forgotten its fence) counts only together with a renewal of the lease
- * that was sent after it came back, which the revocation and the renewal cannot both win.
+ * Invariant: no grant of this node lasts beyond that revocation. Heartbeats sent after the fence
+ * are not acknowledged, so contact has expired when the lease is revoked. Contact that resumes
+ * later (a witness that has restarted has lost its fences) counts only together with a renewal of
+ * the lease that was sent after contact resumed. The revocation and this renewal are conditional on
+ * the same revision, so only one of them can succeed.
  */
 class GrantAuthority
 {
@@ -49,63 +57,80 @@
 
     StoreLease &lease() { return lease_; }
 
-    /** The store has taken a renewal that was sent at @p sentAt and names @p witnesses. */
+    /** The store has accepted a renewal that was sent at @p sentAt and names @p witnesses. */
     void onRenewed(const std::set<NodeId> &witnesses, TimePoint sentAt);
 
-    /** A renewal that names @p witnesses is being sent: whose answers count from now on. */
+    /**
+     * A renewal that names @p witnesses is being sent. Determines whose acknowledgements count
+     * from now on.
+     */
     void onRenewalSent(const std::set<NodeId> &witnesses);
 
-    /** @p witness has answered the heartbeat that was sent at @p sentAt. */
+    /** @p witness has acknowledged the heartbeat that was sent at @p sentAt. */
     void onAcknowledged(NodeId witness, TimePoint sentAt, TimePoint now);
 
-    /** The lease was taken away, or a witness refuses this life: nothing is valid any more. */
+    /**
+     * The lease was revoked, or a witness has fenced this incarnation. The node may no longer
+     * grant.
+     */
     void onRevoked();
 
-    /** @return Until when grants may last; in the past if there is no authority. */
+    /** @return The time until which grants may last; in the past if the node may not grant. */
     TimePoint validUntil() const;
 
-    /** @return When the latest renewal that the store took was sent. */
+    /** @return When the latest renewal that the store accepted was sent. */
     TimePoint renewedAt() const { return renewedAt_; }
 
-    /** @return Whether contact is there but still wants a renewal of the lease. */
+    /** @return Whether contact has resumed but the lease must be renewed before it counts. */
     bool needsRenewal(TimePoint now) const;
 
 private:
-    /** @return Whether a taker can only read a lease without witnesses, which it outwaits. */
-    bool namesNobody() const { return named_.empty() && !isBound_; }
+    /**
+     * @return Whether every stored version of the lease names no witnesses, so that a takeover has
+     *         to wait for the full lease term.
+     */
+    bool hasNoWitnesses() const { return namedWitnesses_.empty() && !mayNameWitnesses_; }
 
     StoreLease lease_;
     WitnessTimes contact_;
-    std::set<NodeId> named_;   ///< By the stored lease.
-    std::set<NodeId> counted_; ///< Whose answers count; a part of named_.
-    /** The stored lease names nobody, but a renewal that does was sent and may have been taken. A
-     * taker that reads it fences its witnesses; without contact, the lease alone no longer counts.
+    std::set<NodeId> namedWitnesses_;   ///< Named by the stored lease.
+    std::set<NodeId> countedWitnesses_; ///< Acknowledgements of these witnesses count; a subset of
+                                        ///< namedWitnesses_.
+    /**
+     * The stored lease names no witnesses, but a renewal that names some was sent and may have
+     * been accepted. A node that takes over and reads the renewed lease fences these witnesses, so
+     * without contact the lease alone no longer counts.
      */
-    bool isBound_ = false;
+    bool mayNameWitnesses_ = false;
     TimePoint contactSince_ = NeverTime;
     TimePoint contactUntil_ = NeverTime;
-    TimePoint renewedAt_ = NeverTime; ///< Sending of the latest renewal that was taken.
+    TimePoint renewedAt_ = NeverTime; ///< When the latest accepted renewal was sent.
 };
 
 /**
- * The witness's side: answers heartbeats of others, and fences them when a taker asks.
- * Invariant: a life that was fenced is never answered again by this life of the witness.
+ * The witness's part: acknowledges heartbeats of other nodes, and fences them on request of a node
+ * that takes over.
+ * Invariant: this incarnation of the witness never again acknowledges an incarnation that it has
+ * fenced.
  */
 class HeartbeatWitness
 {
 public:
     explicit HeartbeatWitness(WitnessTimes times) : times_(times) { }
 
-    /** @return Whether the heartbeat is answered; false: this life is fenced. */
+    /** @return Whether the heartbeat is acknowledged; false if this incarnation is fenced. */
     bool onHeartbeat(NodeId node, Incarnation life, TimePoint now);
 
-    /** @return Whether @p life of @p node is fenced now; false: it was heard of lately. */
+    /**
+     * @return Whether @p life of @p node is fenced now; false if its heartbeat was acknowledged
+     *         recently.
+     */
     bool onFence(NodeId node, Incarnation life, TimePoint now);
 
 private:
     struct Entry {
-        Incarnation heard; ///< Life that was answered last.
-        TimePoint heardAt = NeverTime;
+        Incarnation acknowledged; ///< Incarnation whose heartbeat was acknowledged last.
+        TimePoint acknowledgedAt = NeverTime;
         std::set<Incarnation> fenced;
     };
 
@@ -114,7 +139,8 @@
 };
 
 /**
- * The taker's side for one lost node: which witnesses have fenced it, and when the wait is over.
+ * The part of the node that takes over from one lost node: which witnesses have fenced the lost
+ * node, and when the waiting time is over.
  */
 class Takeover
 {
@@ -122,11 +148,11 @@
     Takeover(WitnessTimes times, Incarnation life, std::vector<NodeId> witnesses);
 
     const std::vector<NodeId> &witnesses() const { return witnesses_; }
-    Incarnation life() const { return life_; }
+    Incarnation life() const { return incarnation_; }
 
     /**
-     * @p witness, in its own life @p witnessLife, has fenced the node. A witness that has restarted
-     * since it was first asked has forgotten its fence, so the wait begins anew.
+     * @p witness, in its incarnation @p witnessLife, has fenced the node. A witness that has
+     * restarted since the first request has lost its fence, so the waiting time starts again.
      */
     void onFenced(NodeId witness, Incarnation witnessLife, TimePoint now);
 
@@ -140,7 +166,7 @@
     };
 
     WitnessTimes times_;
-    Incarnation life_;
+    Incarnation incarnation_;
     std::vector<NodeId> witnesses_;
     std::map<NodeId, Fence> fences_;
 };
--- a/src/decision/range/grant_manager.h
+++ b/src/decision/range/grant_manager.h
@@ -1,5 +1,5 @@
-/** @file grant_manager.h What one node grants to the backend server beside it, renews and takes
- * back. */
+/** @file grant_manager.h Key ranges that one node grants to its backend server, renews and
+ * releases. */
 
 #pragma once
 
@@ -10,248 +10,297 @@
 
 namespace wisteriahoist {
 
-/** Times of grants. */
+/** Timing and limits of grants. */
 struct GrantTimes {
     /**
-     * How long a grant lasts. Work that outlasts the grant under which it began ends as failed,
-     * whatever was renewed meanwhile, so this is longer than nearly all requests run. After a
-     * backend server falls silent its keys wait for so long; after a crash of the node alone its
-     * backend server keeps its keys for so long, which outlasts most restarts, so that the keys
-     * need no warm-up.
+     * The hold time of a grant. A request that runs longer than the grant under which it began
+     * fails, even if the grant was renewed meanwhile, so this is longer than nearly all requests
+     * run. When a backend server stops responding, its keys stay unavailable for this long. When
+     * only the node crashes, its backend server keeps its keys for this long, which outlasts most
+     * restarts of a node, so that the keys need no warm-up.
      */
     milliseconds hold{4000};
-    /** Three renewals may be lost before a grant lapses. */
-    milliseconds renewEvery{600};
+    /** Up to three renewals may be lost before a grant expires. */
+    milliseconds renewInterval{600};
     /**
-     * Grants on their way at the same time. Each takes a connection, and a backend server refuses
-     * those beyond its bound, requests among them. A grant is answered in a millisecond or two, so
-     * these few renew some thousand ranges between two renewals.
+     * Maximum number of grant calls in flight. Each takes a connection, and a backend server
+     * refuses connections above its limit, including those of requests. A grant is answered within
+     * one or two milliseconds, so this is enough to renew several thousand ranges per renewal
+     * interval.
+     */
+    size_t maxGrantsInFlight = 8;
+    /**
+     * Minimum hold time of a grant; a shorter one would expire at about the time of its arrival.
+     */
+    milliseconds minHold{300};
+    /**
+     * The clock of a backend server may run 2% slow, which makes its hold time that much longer
+     * than the one computed here.
      */
-    size_t openGrants = 8;
-    /** No grant is sent for less: it would lapse about when it arrives. */
-    milliseconds least{300};
-    /** A backend server's clock may run 2% slow: its hold lasts so much longer than ours. */
     double driftShare = 0.02;
-    /** From the order of a grant until its first byte is sent; later it is not sent at all. A
-     *  connection may have to be opened, and the process may stand still meanwhile. */
-    milliseconds sending{80};
-    /** Between the order of a grant and its arrival on the same VM. */
-    milliseconds arrival{100};
     /**
-     * An answer to a heartbeat takes effect only within a second of the heartbeat's sending, so
-     * what it grants can't be taken up later than this after its arrival (a clock that runs 2% slow
-     * and some slack included).
+     * Maximum time from the creation of a grant call until its first byte is sent; after that it
+     * is not sent at all. Opening a connection may take time, and the process may be paused
+     * meanwhile.
+     */
+    milliseconds maxSendDelay{80};
+    /** Maximum time from the creation of a grant call until its arrival on the same VM. */
+    milliseconds maxArrivalDelay{100};
+    /**
+     * A reply to a heartbeat takes effect only within one second after the heartbeat was sent, so
+     * its grants cannot be applied later than this after the arrival of the heartbeat. Includes a
+     * clock that runs 2% slow and some slack.
+     */
+    milliseconds replyValidity{1050};
+    /**
+     * Time after which a backend server on the same VM has surely read a reply. It rejects a
+     * request that arrives earlier, which then has to be sent again.
      */
-    milliseconds answerCounts{1050};
-    /** From the sending of an answer until the backend server has surely read it, on the same VM;
-     *  a request that comes sooner is turned away there and has to be sent again. */
-    milliseconds answerArrival{20};
-    /** So many heartbeats in a row without keys that were granted before mean that the backend
-     *  server refuses their fence; one can be sent before the answer to the last has arrived. */
-    uint32_t missingReports = 2;
+    milliseconds replyDeliveryTime{20};
     /**
-     * Rows in one answer. It may have 4 KiB; a row with the longest numbers and a token of 16
-     * characters takes 46 bytes, and 200 are left for the rest.
+     * Number of consecutive heartbeats without a granted range after which the backend server is
+     * assumed to refuse the fence of that range. A single heartbeat may have been sent before the
+     * previous reply arrived.
+     */
+    uint32_t maxMissingReports = 2;
+    /**
+     * Maximum number of rows in one reply. A reply is limited to 4 KiB; a row with the longest
+     * numbers and a token of 16 characters takes 46 bytes, and 200 bytes are reserved for the rest
+     * of the reply.
      */
     size_t rows = 84;
 };
 
-/** A call to the backend server: take these keys, or keep them. */
+/** A call to the backend server that grants keys or renews the grant. */
 struct GrantRequest {
     KeySpan span;
     Epoch fence;
     milliseconds hold{0};
-    std::string handover; ///< Empty: none.
+    std::string handover; ///< Hand-over token; empty: none.
     TimePoint sentAt = NeverTime;
-    TimePoint sendBy = NeverTime; ///< Sent later, it would last longer than is noted of it.
+    TimePoint sendBy = NeverTime; ///< Sent later, the grant would outlast its recorded expiry.
     bool renews = false;          ///< The range was granted under this fence before.
 };
 
-/** A call to the backend server: stop new work on these keys, answer when the old work has ended.
+/**
+ * A call to the backend server to reject new requests for these keys and to answer once the
+ * running requests have ended.
  */
 struct ReleaseRequest {
     KeySpan span;
     Epoch fence;
-    uint64_t number = 0; ///< Among all releases of this process.
+    uint64_t number = 0; ///< Unique among all releases of this process.
 };
 
-/** How a call ended. */
+/** The outcome of a call. */
 enum class ControlResult {
     Accepted,
     StaleFence, ///< The backend server has seen a higher fence on one of the keys.
-    Unanswered, ///< It may take effect, also seconds later.
-    NotSent,    ///< Its connection was refused: it takes no effect.
-    TooLate,    ///< It could not be sent in time, and was not: it takes no effect.
+    Unanswered, ///< No answer; the call may still take effect, even seconds later.
+    NotSent,    ///< The connection was refused; the call takes no effect.
+    TooLate,    ///< Not sent because its deadline had passed; the call takes no effect.
 };
 
-/** What shows that a backend server holds a range no more. */
-enum class ReleaseGround {
-    Answered,     ///< The backend server has answered the release.
-    NotListed,    ///< A heartbeat has told the release, and one does not list the range any more.
-    GrantsRunOut, ///< The latest grant has run out on the slowest clock.
+/** The evidence that a backend server no longer holds a range. */
+enum class ReleaseEvidence {
+    Answered,  ///< The backend server has answered the release.
+    NotListed, ///< A heartbeat has reported the release, and a heartbeat no longer lists the range.
+    GrantsExpired, ///< The latest grant has expired, even on the slowest possible clock.
 };
 
-std::string_view releaseGroundName(ReleaseGround ground);
+std::string_view releaseEvidenceName(ReleaseEvidence evidence);
 
-/** The inputs of the decision that a range is held no more; a heartbeat is named by its sequence.
+/**
+ * The facts behind the decision that a range is no longer held. Heartbeats are identified by their
+ * sequence number.
  */
 struct ReleaseProof {
-    ReleaseGround ground = ReleaseGround::GrantsRunOut;
-    uint64_t shownIn = 0;                  ///< Latest heartbeat that listed it under its fence.
-    uint64_t toldIn = 0;                   ///< Heartbeat that told its release; 0: none.
-    uint64_t leftOutOf = 0;                ///< Heartbeat that confirmed the end of work; 0: none.
-    TimePoint confirmedAt = NeverTime;     ///< When the ground became known, if not by time alone.
-    TimePoint grantedAt = NeverTime;       ///< Sending of the latest grant; never: none is known.
-    TimePoint lapsesAt = NeverTime;        ///< Of the latest grant.
-    TimePoint unansweredUntil = NeverTime; ///< Until when a grant without an answer may count.
+    ReleaseEvidence evidence = ReleaseEvidence::GrantsExpired;
+    uint64_t listedIn = 0;    ///< Latest heartbeat that listed the range under its fence.
+    uint64_t reportedIn = 0;  ///< Heartbeat that reported the release; 0: none.
+    uint64_t omittedFrom = 0; ///< Heartbeat that confirmed the end of running requests; 0: none.
+    TimePoint confirmedAt = NeverTime; ///< When the evidence arrived; NeverTime: by time alone.
+    TimePoint grantedAt = NeverTime;   ///< When the latest grant was sent; NeverTime: none known.
+    TimePoint expiresAt = NeverTime;   ///< Expiry of the latest grant.
+    TimePoint unansweredUntil = NeverTime; ///< Latest expiry of any unanswered grant.
 };
 
-/** A range that the backend server holds no more and that may be given to another one. */
+/** A range that the backend server no longer holds, and that may be assigned to another holder. */
 struct ReleasedRange {
     KeySpan span;
     Epoch fence;
-    std::string handover; ///< Empty if it was not released but outwaited.
+    std::string handover; ///< Empty if the grants expired without a release.
     ReleaseProof proof;
 };
 
 /**
- * A backend server is told what to hold in one of two forms: by calls, one for each range
- * (takeDueGrants() and what follows it), or in the answers to its heartbeats, all at once
- * (onHolds() and takeHolds()). The proofs of sole ownership are the same.
- * In the second form a backend server takes up no answer later than a second after its heartbeat.
- * A heartbeat may be sent before the last one was answered and may arrive seconds late, so that it
- * does not show a range proves nothing of an answer that grants it.
+ * Manages the grants of one node to its backend server. No other node grants to this backend
+ * server, since none can reach it.
  *
- * The only one that grants to its backend server, since nobody else can reach it. It admits a
- * request only for a key whose grant was confirmed and has not lapsed on this node's own clock.
+ * A backend server is granted keys in one of two ways: by one call per range (takeDueGrants() and
+ * the functions below it), or in the replies to its heartbeats, all ranges at once
+ * (onHeldKeysReport() and takeGrantReply()). The evidence required for exclusive ownership is the
+ * same. In the second way, a backend server applies no reply that arrives more than one second
+ * after it sent the heartbeat. A heartbeat may be sent before the previous one was answered, and it
+ * may arrive seconds late. So if a heartbeat does not list a range, this does not rule out that a
+ * reply granting that range is applied later.
  *
- * Invariant: a range is reported as released only after the backend server has confirmed it and
- * every grant without an answer has run out, or after the latest grant ever sent for any of its
- * keys has. A grant without an answer may still be applied, also after the release; given on
- * sooner, its keys would be held twice.
+ * A request is admitted only if the grant for its key was confirmed and has not expired on the
+ * clock of this node.
+ *
+ * Invariant: a range is reported as released only after the backend server has confirmed the
+ * release and every unanswered grant has expired, or after the latest grant ever sent for any of
+ * its keys has expired. An unanswered grant may still be applied, even after the release; if the
+ * range were assigned to another holder earlier, two backend servers would hold its keys.
  */
 class GrantManager
 {
 public:
     /**
-     * @param earlierUntil When grants that an earlier life of this process sent have run out.
+     * @param earlierExpiry When the grants sent by an earlier incarnation of this process have
+     *        expired.
      */
-    GrantManager(GrantTimes times, TimePoint earlierUntil)
-        : times_(times), earlierUntil_(earlierUntil)
+    GrantManager(GrantTimes times, TimePoint earlierExpiry)
+        : times_(times), untrackedExpiry_(earlierExpiry)
     { }
 
-    /** @return When a grant that is sent at @p now for @p hold has run out on the slowest clock. */
-    static TimePoint lapseOf(const GrantTimes &times, milliseconds hold, TimePoint now);
+    /**
+     * @return When a grant sent at @p now with hold time @p hold has expired on the slowest
+     *         possible clock.
+     */
+    static TimePoint expiryOf(const GrantTimes &times, milliseconds hold, TimePoint now);
 
-    /** Takes over the stored table, and who this node and its backend server are at present. */
+    /**
+     * Updates from the stored table and the current identity of this node and its backend server.
+     */
     void onTable(const RangeTable &table, const std::optional<RangeHolder> &self, TimePoint now);
 
-    /** @return The grants to send now, those that lapse first first; each counts as sent.
-     *  @param leaseUntil No grant outlasts it. */
+    /**
+     * @return The grants to send now, those that expire first at the front. Each is recorded as
+     *         sent.
+     * @param leaseUntil No grant outlasts this time.
+     */
     std::vector<GrantRequest> takeDueGrants(TimePoint leaseUntil, TimePoint now);
 
-    void onGrantEnd(const GrantRequest &order, ControlResult result);
+    void onGrantEnd(const GrantRequest &request, ControlResult result);
 
-    /** Stops admitting and renewing @p span, to be released. Spans that are not held are ignored.
+    /**
+     * Stops admitting requests for @p span and renewing its grants, so that it can be released.
+     * Keys that are not held are ignored.
      */
     void beginRelease(const KeySpan &span);
 
-    /** @return The releases to send now; each counts as sent until onReleaseEnd(). */
+    /** @return The releases to send now; each is recorded as in flight until onReleaseEnd(). */
     std::vector<ReleaseRequest> takeDueReleases(TimePoint now);
 
-    void onReleaseEnd(const ReleaseRequest &order, ControlResult result,
+    void onReleaseEnd(const ReleaseRequest &request, ControlResult result,
                       const std::string &handover, TimePoint now);
 
-    /** A heartbeat, sent after all earlier ones, tells what the backend server holds. */
-    void onHolds(const HeldKeysReport &report, TimePoint now);
+    /** Processes the report of a heartbeat that was sent after all earlier ones. */
+    void onHeldKeysReport(const HeldKeysReport &report, TimePoint now);
 
-    /** @return Whether it holds all that it should, and nothing else, as @p report has it. */
-    bool isAsReported(const HeldKeysReport &report) const;
+    /** @return Whether @p report lists exactly the ranges that the backend server is to hold. */
+    bool matchesReport(const HeldKeysReport &report) const;
 
     /**
-     * @return What the answer to a heartbeat that arrived at @p receivedAt grants; it counts as
-     *         sent. Nothing if there is no authority to grant for long enough; the answer then must
-     *         leave alone what is held. @param leaseUntil No grant outlasts it.
+     * @return The grants in the reply to a heartbeat that arrived at @p receivedAt, recorded as
+     *         sent; std::nullopt if this node may not grant for long enough. The reply then must
+     *         not change what the backend server holds.
+     * @param leaseUntil No grant outlasts this time.
      */
-    std::optional<GrantReply> takeHolds(TimePoint receivedAt, TimePoint leaseUntil, TimePoint now);
+    std::optional<GrantReply> takeGrantReply(TimePoint receivedAt, TimePoint leaseUntil,
+                                             TimePoint now);
 
-    /** @return Ranges that may be written to others; they stay listed until the table names them
-     *  others'. */
+    /**
+     * @return Ranges that may be assigned to other holders. They stay listed until the table names
+     *         another holder.
+     */
     std::vector<ReleasedRange> releasedRanges(TimePoint now) const;
 
-    /** @return Whether a request for @p key may be handed to the backend server. */
+    /** @return Whether a request for @p key may be forwarded to the backend server. */
     bool admits(ShardKey key, TimePoint leaseUntil, TimePoint now) const;
 
-    /** @return Whether @p key is on its way to another holder. */
+    /** @return Whether @p key is being moved to another holder. */
     bool isLeaving(ShardKey key) const;
 
-    /** @return When the latest grant ever sent for any key, also before a restart, has run out. */
-    TimePoint lastLapse() const;
+    /**
+     * @return When the latest grant ever sent for any key, including before a restart, has
+     *         expired.
+     */
+    TimePoint lastExpiry() const;
 
-    /** @return Fences that the backend server refused; the table needs higher ones for them. */
+    /**
+     * @return Ranges whose fences the backend server refused; the table needs higher ones for
+     *         them.
+     */
     std::vector<KeySpan> refusedSpans() const;
 
-    /** @return Spans held and not leaving, in order. */
+    /** @return The ranges that are held and not being released, in order. */
     std::vector<KeySpan> heldSpans() const;
 
-    /** @return Whether a range is being released, or waits to be written to another holder. */
+    /** @return Whether a range is being released or waits for its new holder to be written. */
     bool hasLeaving() const;
 
     size_t size() const { return held_.size(); }
 
 private:
-    struct Held {
+    struct HeldRange {
         KeySpan span;
         Epoch fence;
         std::string handover;
-        TimePoint confirmedUntil = NeverTime;  ///< On this node's clock, from the sending.
-        TimePoint lapsesAt = NeverTime;        ///< Of the latest grant sent, clock drift included.
-        TimePoint pendingUntil = NeverTime;    ///< Lapse of the grant that waits for its answer.
-        TimePoint unansweredUntil = NeverTime; ///< Latest lapse of a grant without an answer.
-        TimePoint dueAt = NeverTime;           ///< Of the next grant.
-        bool granting = false;                 ///< A grant is on its way.
-        bool refused = false;                  ///< Its fence is used up.
+        TimePoint confirmedUntil = NeverTime; ///< On the clock of this node, counted from sending.
+        TimePoint expiresAt = NeverTime;    ///< Latest expiry of all grants sent, with clock drift.
+        TimePoint pendingUntil = NeverTime; ///< Expiry of the grant that is in flight.
+        TimePoint unansweredUntil = NeverTime; ///< Latest expiry of any unanswered grant.
+        TimePoint dueAt = NeverTime;           ///< When the next grant is due.
+        bool grantInFlight = false;            ///< A grant call is in flight.
+        bool refused = false;                  ///< The backend server refused the fence.
         bool leaving = false;
-        uint64_t release = 0;  ///< Number of the release that is on its way; 0: none.
-        bool released = false; ///< The backend server has confirmed.
+        uint64_t release = 0;  ///< Number of the release in flight; 0: none.
+        bool released = false; ///< The backend server has confirmed the release.
         TimePoint releaseDueAt = NeverTime;
-        bool releaseTold = false; ///< A heartbeat has told its token; it may still be worked on.
+        bool releaseReported = false; ///< Token reported by a heartbeat; requests may still run.
         std::string releaseToken;
-        TimePoint admittedFrom = NeverTime; ///< The answer that grants it has arrived by then.
-        bool offered = false;               ///< An answer to a heartbeat has granted it.
-        bool shown = false;                 ///< The latest heartbeat has shown it as held.
-        bool taken = false;                 ///< A heartbeat has shown it as held under its fence.
-        uint32_t missing = 0;               ///< Heartbeats in a row that did not, though offered.
-        ReleaseProof proof;                 ///< What is known of its end so far.
+        TimePoint admittedFrom = NeverTime; ///< The reply with the grant has arrived by then.
+        bool grantedByReply = false;        ///< Granted in the reply to a heartbeat.
+        bool listed = false;                ///< Listed as held in the latest heartbeat.
+        bool wasListed = false;             ///< Listed as held under its fence by some heartbeat.
+        uint32_t missedReports = 0; ///< Consecutive heartbeats that omitted it despite a grant.
+        ReleaseProof proof;         ///< Facts known so far about the end of this holding.
 
         bool isWanted() const { return !leaving && !refused; }
     };
 
-    std::vector<Held *> dueForGrant(TimePoint now);
-    /** @return How many keys of @p held are in @p next under its fence. */
-    static uint32_t countListed(const Held &held, const std::vector<Held> &next);
-    void rememberDropped(const RangeTable &table, const std::vector<Held> &next);
-    void takeEntry(const KeySpan &span, const RangeEntry &entry, TimePoint now,
-                   std::vector<Held> &next) const;
-    void takeReleased(const ReleasedKeys &released, uint64_t sequence);
-    void noteShown(Held &held, bool shown) const;
-    void offer(Held &held, milliseconds hold, TimePoint receivedAt, TimePoint now) const;
-    void cutLeavingAt(uint32_t key);
-    void applyGrantEnd(Held &held, const GrantRequest &order, ControlResult result) const;
-    const Held *find(ShardKey key) const;
+    std::vector<HeldRange *> dueForGrant(TimePoint now);
+    /** @return The number of keys of @p held that are in @p next under the same fence. */
+    static uint32_t countListed(const HeldRange &held, const std::vector<HeldRange> &next);
+    void recordUnlisted(const RangeTable &table, const std::vector<HeldRange> &next);
+    void addEntry(const KeySpan &span, const RangeEntry &entry, TimePoint now,
+                  std::vector<HeldRange> &next) const;
+    void recordReleased(const ReleasedKeys &released, uint64_t sequence);
+    void recordListed(HeldRange &held, bool listed) const;
+    void recordGrant(HeldRange &held, milliseconds hold, TimePoint receivedAt, TimePoint now) const;
+    void splitLeavingAt(uint32_t key);
+    void applyGrantEnd(HeldRange &held, const GrantRequest &request, ControlResult result) const;
+    const HeldRange *find(ShardKey key) const;
 
     GrantTimes times_;
-    /** When grants have run out of which nothing else is known: of an earlier life of the process,
-     * and of ranges that are no longer listed. The node may list them again under a new life of its
-     * own, while its backend server still holds them. */
-    TimePoint earlierUntil_;
-    std::vector<Held> held_; ///< Sorted by span; disjoint.
-    uint64_t releases_ = 0;  ///< Releases sent so far.
-    /** Ranges that were leaving when they were no longer listed: the holder was unknown for
-     * a moment, or the lease was lost. A write that gives them to others may still be on
-     * its way, so they go on leaving when they are listed again under their fence; granted anew,
-     * they would be held twice once that write is done. Disjoint from held_. */
-    std::vector<Held> unlisted_;
+    /**
+     * Latest expiry of grants that are not tracked in held_: those of an earlier incarnation of
+     * the process, and those of ranges that are no longer listed. The table may list these ranges
+     * again under a new incarnation of the node while the backend server still holds them.
+     */
+    TimePoint untrackedExpiry_;
+    std::vector<HeldRange> held_; ///< Sorted by span; disjoint.
+    uint64_t releases_ = 0;       ///< Number of releases sent so far.
+    /**
+     * Ranges that were being released when the table stopped listing them for this holder, because
+     * the holder was unknown for a moment or the lease was lost. A write that assigns them to
+     * other holders may still be in flight, so their release continues if they are listed again
+     * under the same fence. If they were granted again, two backend servers would hold them once
+     * that write succeeds. Disjoint from held_.
+     */
+    std::vector<HeldRange> unlisted_;
 };
 
 } // namespace wisteriahoist
--- a/src/decision/range/key_load.cpp
+++ b/src/decision/range/key_load.cpp
@@ -1,4 +1,4 @@
-/** @file key_load.cpp How busy each key keeps the backend server beside this node. */
+/** @file key_load.cpp Load per key on the backend server of this node. */
 
 #include "decision/range/key_load.h"
 
@@ -8,7 +8,8 @@
 namespace wisteriahoist {
 
 namespace {
-constexpr milliseconds FadeEvery{100}; ///< Fading on each request would cost a pass over all keys.
+/** Decaying on each request would take a pass over all keys. */
+constexpr milliseconds DecayInterval{100};
 
 double secondsOf(Duration duration)
 {
@@ -16,15 +17,16 @@
 }
 } // namespace
 
-void KeyLoad::fade(TimePoint now)
+void KeyLoad::applyDecay(TimePoint now)
 {
-    if (fadedAt_ != NeverTime && now - fadedAt_ < FadeEvery) {
+    if (decayedAt_ != NeverTime && now - decayedAt_ < DecayInterval) {
         return;
     }
     const double decay = secondsOf(settings_.decay);
-    const double factor = fadedAt_ == NeverTime ? 1 : std::exp(-secondsOf(now - fadedAt_) / decay);
-    fadedAt_ = now;
-    const double least = settings_.least * decay;
+    const double factor
+            = decayedAt_ == NeverTime ? 1 : std::exp(-secondsOf(now - decayedAt_) / decay);
+    decayedAt_ = now;
+    const double least = settings_.minBusySlots * decay;
     sum_ = 0;
     for (auto entry = weights_.begin(); entry != weights_.end();) {
         entry->second *= factor;
@@ -39,8 +41,8 @@
 
 void KeyLoad::record(ShardKey key, Duration busy, TimePoint now)
 {
-    fade(now);
-    if (weights_.size() >= settings_.keys && weights_.count(key.value()) == 0) {
+    applyDecay(now);
+    if (weights_.size() >= settings_.maxKeys && weights_.count(key.value()) == 0) {
         const auto least = std::min_element(
                 weights_.begin(), weights_.end(),
                 [](const auto &left, const auto &right) { return left.second < right.second; });
@@ -53,7 +55,7 @@
 
 std::vector<KeyRate> KeyLoad::rates(const KeySpan &span, TimePoint now)
 {
-    fade(now);
+    applyDecay(now);
     const double decay = secondsOf(settings_.decay);
     std::vector<KeyRate> found;
     for (const auto &[key, weight] : weights_) {
@@ -68,7 +70,7 @@
 
 double KeyLoad::total(TimePoint now)
 {
-    fade(now);
+    applyDecay(now);
     return sum_ / secondsOf(settings_.decay);
 }
 
--- a/src/decision/range/key_load.h
+++ b/src/decision/range/key_load.h
@@ -1,4 +1,4 @@
-/** @file key_load.h How busy each key keeps the backend server beside this node. */
+/** @file key_load.h Load per key on the backend server of this node. */
 
 #pragma once
 
@@ -8,24 +8,27 @@
 
 namespace wisteriahoist {
 
-/** Bounds of what is counted. */
+/** Limits of the load measurement. */
 struct KeyLoadSettings {
-    /** Time constant. Hot keys change within seconds on the users' sites, so older load fades fast;
-     *  shorter, and a slice with 10 requests/s is judged by fewer than 30 of them. */
+    /**
+     * Time constant of the decay. Hot keys change within seconds on the users' sites, so older
+     * load has to decay quickly. With a shorter time constant, the load of a slice with 10
+     * requests/s would be estimated from fewer than 30 requests.
+     */
     milliseconds decay{3000};
-    size_t keys = 4096;    ///< Counted at once; beyond, those with the least load are dropped.
-    double least = 0.0005; ///< Busy slots below which a key is dropped.
+    size_t maxKeys = 4096;        ///< Above this, the keys with the least load are dropped.
+    double minBusySlots = 0.0005; ///< Keys with fewer busy slots than this are dropped.
 };
 
-/** Busy slots of one key. */
+/** Number of busy slots that one key accounts for. */
 struct KeyRate {
     ShardKey key;
     double busySlots = 0;
 };
 
 /**
- * Counts the time that requests spent running, by key, and lets it fade. The sum over all keys is
- * the mean number of slots that were busy in the last seconds.
+ * Sums up the running time of requests by key, with exponential decay. The total over all keys is
+ * the mean number of slots that were busy during the last seconds.
  */
 class KeyLoad
 {
@@ -34,18 +37,18 @@
 
     void record(ShardKey key, Duration busy, TimePoint now);
 
-    /** @return Keys with load within @p span, in order of the keys. */
+    /** @return The load of the keys within @p span, sorted by key. */
     std::vector<KeyRate> rates(const KeySpan &span, TimePoint now);
 
     double total(TimePoint now);
 
 private:
-    void fade(TimePoint now);
+    void applyDecay(TimePoint now);
 
     KeyLoadSettings settings_;
-    std::unordered_map<uint32_t, double> weights_; ///< Faded busy seconds by key.
-    double sum_ = 0;                               ///< Of weights_.
-    TimePoint fadedAt_ = NeverTime;
+    std::unordered_map<uint32_t, double> weights_; ///< Decayed busy time in seconds, by key.
+    double sum_ = 0;                               ///< Sum of weights_.
+    TimePoint decayedAt_ = NeverTime;
 };
 
 } // namespace wisteriahoist
--- a/src/decision/range/range_block.cpp
+++ b/src/decision/range/range_block.cpp
@@ -1,4 +1,4 @@
-/** @file range_block.cpp A service's range table in several records. */
+/** @file range_block.cpp Stores the range table of a service in several records. */
 
 #include "decision/range/range_block.h"
 
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr uint32_t AllKeys = LastShardKey.value() + 1;
-constexpr size_t HoldersOfOneRecord = 8;
+constexpr size_t MaxHoldersOfOneRecord = 8;
 constexpr size_t BlocksPerHolder = 4;
-constexpr uint32_t MostBlocks = 1024; ///< 64 keys each; the store lists 500 records at a time.
+constexpr uint32_t MaxBlocks = 1024; ///< 64 keys per block; the store lists 500 records at a time.
 
 } // namespace
 
@@ -24,19 +24,19 @@
 
 BlockLayout chooseLayout(size_t holders)
 {
-    if (holders <= HoldersOfOneRecord) {
+    if (holders <= MaxHoldersOfOneRecord) {
         return {};
     }
     const size_t wanted = std::bit_ceil(holders * BlocksPerHolder);
-    return {static_cast<uint32_t>(std::min<size_t>(wanted, MostBlocks))};
+    return {static_cast<uint32_t>(std::min<size_t>(wanted, MaxBlocks))};
 }
 
 bool isValidBlockCount(uint32_t count)
 {
-    return std::has_single_bit(count) && count <= MostBlocks;
+    return std::has_single_bit(count) && count <= MaxBlocks;
 }
 
-RangeTable cutBlock(const RangeTable &table, const KeySpan &span)
+RangeTable extractBlock(const RangeTable &table, const KeySpan &span)
 {
     RangeTable part;
     part.highestFence = table.highestFence;
@@ -68,7 +68,7 @@
     const auto gap = table.entries.erase(begin, end);
     table.entries.insert(gap, part.entries.begin(), part.entries.end());
     table.highestFence = std::max(table.highestFence, part.highestFence);
-    mergeEqual(table);
+    mergeAdjacent(table);
     return table;
 }
 
--- a/src/decision/range/range_planner.cpp
+++ b/src/decision/range/range_planner.cpp
@@ -1,4 +1,4 @@
-/** @file range_planner.cpp Which ranges go to which holder. */
+/** @file range_planner.cpp Decides which ranges move to which holder. */
 
 #include "decision/range/range_planner.h"
 
@@ -9,13 +9,19 @@
 
 namespace {
 
-/** Load that every key is taken to have besides what was measured, over all keys together. */
-constexpr double IdleLoad = 0.05;
-/** A candidate without room still gets this share of the level: its report may be old. */
-constexpr double LeastShare = 0.02;
+/**
+ * Load assumed in addition to the measured load, spread evenly over all keys: this share of the
+ * measured load, and at least this many busy slots.
+ */
+constexpr double UnmeasuredLoad = 0.05;
+/**
+ * A candidate without free capacity still gets this share of the load, since its report may be
+ * outdated.
+ */
+constexpr double MinShare = 0.02;
 
-/** @return What each candidate takes so that all come out at one level of busy slots per slot. */
-std::vector<double> levelShares(const std::vector<RangeCandidate> &candidates, double load)
+/** @return The load each candidate takes so that all reach the same utilisation (busy per slot). */
+std::vector<double> equalisingShares(const std::vector<RangeCandidate> &candidates, double load)
 {
     double low = 0;
     double high = load;
@@ -30,7 +36,7 @@
                                    return sum + std::max(0.0, room);
                                });
     };
-    constexpr int Steps = 40; // Halvings: far below the precision of any load.
+    constexpr int Steps = 40; // Bisection steps; the error is far below the precision of any load.
     for (int step = 0; step < Steps; ++step) {
         const double middle = (low + high) / 2;
         (roomAt(middle) < load ? low : high) = middle;
@@ -38,16 +44,16 @@
     std::vector<double> shares;
     for (const RangeCandidate &candidate : candidates) {
         const double room = high * candidate.slots - candidate.busySlots;
-        shares.push_back(std::max(room, load * LeastShare));
+        shares.push_back(std::max(room, load * MinShare));
     }
     return shares;
 }
 
-/** Walks over keys in order and tells the load of each. */
-class KeyWalk
+/** Iterates over keys in ascending order and returns the load of each. */
+class KeyLoadCursor
 {
 public:
-    KeyWalk(const std::vector<KeyRate> &rates, double idlePerKey)
+    KeyLoadCursor(const std::vector<KeyRate> &rates, double idlePerKey)
         : rates_(rates), idlePerKey_(idlePerKey)
     { }
 
@@ -86,9 +92,9 @@
     return drawn;
 }
 
-std::vector<RangeMove> planGiveAway(const std::vector<KeySpan> &spans,
-                                    const std::vector<KeyRate> &rates,
-                                    const std::vector<RangeCandidate> &candidates)
+std::vector<RangeMove> planDistribution(const std::vector<KeySpan> &spans,
+                                        const std::vector<KeyRate> &rates,
+                                        const std::vector<RangeCandidate> &candidates)
 {
     std::vector<RangeMove> moves;
     uint32_t keys = 0;
@@ -99,10 +105,10 @@
         return moves;
     }
     const double measured = sumOf(rates);
-    const double total = measured + std::max(measured * IdleLoad, IdleLoad);
-    const std::vector<double> shares = levelShares(candidates, total);
+    const double total = measured + std::max(measured * UnmeasuredLoad, UnmeasuredLoad);
+    const std::vector<double> shares = equalisingShares(candidates, total);
     const double shareSum = std::accumulate(shares.begin(), shares.end(), 0.0);
-    KeyWalk walk(rates, (total - measured) / keys);
+    KeyLoadCursor walk(rates, (total - measured) / keys);
     size_t target = 0;
     double taken = 0;
     double bound = shares[0] / shareSum * total;
@@ -110,7 +116,7 @@
         uint32_t begin = span.first.value();
         for (uint32_t key = begin; key <= span.last.value(); ++key) {
             const double load = walk.loadOf(key);
-            // A key goes to the side on which most of its load lies.
+            // A key that crosses the boundary goes to the side on which most of its load lies.
             if (taken + load / 2 > bound && target + 1 < candidates.size()) {
                 if (key > begin) {
                     moves.push_back(
@@ -131,13 +137,13 @@
 
 namespace {
 
-/** A part at one end of a span, and its load. */
+/** A part at one end of a range, and its load. */
 struct EndPart {
     KeySpan span;
     double load = 0;
 };
 
-/** @return The largest part at the front (or back) of @p span with a load of @p most or less. */
+/** @return The largest part at the front (or back) of @p span with a load of at most @p most. */
 EndPart cutEnd(const KeySpan &span, std::vector<KeyRate> rates, double most, bool front)
 {
     EndPart part;
@@ -157,8 +163,10 @@
     return part;
 }
 
-/** @return The end part with the most load, of @p most or less. The last span is never taken
- *          whole: nothing is gained if a holder is left without keys. */
+/**
+ * @return The end part with the highest load of at most @p most. The only remaining span is never
+ *         taken whole, since leaving a holder without keys gains nothing.
+ */
 EndPart findBestPart(const std::vector<KeySpan> &spans, const std::vector<KeyRate> &rates,
                      double most)
 {
@@ -175,8 +183,8 @@
     return best;
 }
 
-/** Takes @p part, one end of one of @p spans, out of them. */
-void takeOut(std::vector<KeySpan> &spans, const KeySpan &part)
+/** Removes @p part, which is one end of one of @p spans. */
+void removePart(std::vector<KeySpan> &spans, const KeySpan &part)
 {
     for (KeySpan &span : spans) {
         if (!span.covers(part)) {
@@ -197,7 +205,7 @@
 
 namespace {
 
-/** @return The move of the hottest key to the backend server that is least busy with it. */
+/** @return The move of the hottest key to the backend server that would be least busy with it. */
 std::optional<RangeMove> planHotKey(const RangeCandidate &self, const std::vector<KeyRate> &rates,
                                     const std::vector<RangeCandidate> &candidates,
                                     const BalanceLimits &limits)
@@ -230,8 +238,8 @@
 
 } // namespace
 
-std::optional<RangeMove> planFirstShare(const std::vector<KeySpan> &spans,
-                                        const RangeCandidate &newcomer)
+std::optional<RangeMove> planInitialShare(const std::vector<KeySpan> &spans,
+                                          const RangeCandidate &newcomer)
 {
     const auto widest = std::max_element(
             spans.begin(), spans.end(),
@@ -250,16 +258,16 @@
 {
     const auto shareOf
             = [](const RangeCandidate &candidate) { return candidate.busySlots / candidate.slots; };
-    const auto idlest = std::min_element(candidates.begin(), candidates.end(),
-                                         [&shareOf](const auto &left, const auto &right) {
-                                             return shareOf(left) < shareOf(right);
-                                         });
-    if (idlest == candidates.end() || shareOf(self) < limits.busyShare
-        || shareOf(self) - shareOf(*idlest) < limits.margin) {
+    const auto leastLoaded = std::min_element(candidates.begin(), candidates.end(),
+                                              [&shareOf](const auto &left, const auto &right) {
+                                                  return shareOf(left) < shareOf(right);
+                                              });
+    if (leastLoaded == candidates.end() || shareOf(self) < limits.busyShare
+        || shareOf(self) - shareOf(*leastLoaded) < limits.margin) {
         return {};
     }
-    const double gap = shareOf(self) - shareOf(*idlest);
-    const double most = gap * limits.part * std::min(self.slots, idlest->slots);
+    const double gap = shareOf(self) - shareOf(*leastLoaded);
+    const double most = gap * limits.part * std::min(self.slots, leastLoaded->slots);
     std::vector<RangeMove> moves;
     std::vector<KeySpan> left = spans;
     double moved = 0;
@@ -268,11 +276,11 @@
         if (best.load <= 0) {
             break;
         }
-        moves.push_back({best.span, idlest->holder});
+        moves.push_back({best.span, leastLoaded->holder});
         moved += best.load;
-        takeOut(left, best.span);
+        removePart(left, best.span);
     }
-    if (moved > 0 && moved >= most * limits.leastPart) {
+    if (moved > 0 && moved >= most * limits.minPart) {
         return moves;
     }
     const auto hotKey = planHotKey(self, rates, candidates, limits);
--- a/src/decision/range/range_planner.h
+++ b/src/decision/range/range_planner.h
@@ -1,5 +1,5 @@
-/** @file range_planner.h Which ranges go to which holder: when one leaves, is lost, or is too busy.
- */
+/** @file range_planner.h Decides which ranges move to which holder when a holder leaves, is lost or
+ * is overloaded. */
 
 #pragma once
 
@@ -10,79 +10,96 @@
 
 namespace wisteriahoist {
 
-/** A backend server that may be given keys. */
+/** A backend server that may receive keys. */
 struct RangeCandidate {
     RangeHolder holder;
-    double busySlots = 0;        ///< By its latest report; 0 if there is none.
-    double slots = 1;            ///< That it has.
-    uint32_t keys = 0;           ///< Keys that it holds at present.
-    milliseconds serviceTime{0}; ///< Mean time that a request runs there; 0: not known.
+    double busySlots = 0;        ///< From its latest report; 0 if there is none.
+    double slots = 1;            ///< Total number of slots.
+    uint32_t keys = 0;           ///< Number of keys that it currently holds.
+    milliseconds serviceTime{0}; ///< Mean running time of a request; 0: unknown.
 };
 
-/** A range and who is to hold it. */
+/** A range and its new holder. */
 struct RangeMove {
     KeySpan span;
     RangeHolder holder;
     bool operator==(const RangeMove &) const = default;
 };
 
-/** When a holder gives a part of its load away. */
+/** Thresholds for moving part of a holder's load to another holder. */
 struct BalanceLimits {
-    /** Below this share of its slots a holder keeps what it has: nobody waits there. */
+    /**
+     * A holder that uses less than this share of its slots keeps all its keys, since no requests
+     * wait.
+     */
     double busyShare = 0.85;
-    /** By so much the other's share must be lower: a move costs its keys one to two seconds, until
-     *  the longest request that runs on them has ended. */
+    /**
+     * Minimum difference of the slot utilisation between the two holders. A move makes its keys
+     * unavailable for one to two seconds, until the longest running request for them has ended.
+     */
     double margin = 0.3;
-    /** By so much the busier one of the two has to be less busy after a hot key's move. */
+    /**
+     * Minimum by which the move of a hot key must reduce the utilisation of the busier of the two
+     * holders.
+     */
     double hotKeyGain = 0.2;
-    /** Part of the difference that is moved at once; all of it would swing back. */
+    /** Share of the difference that is moved at once; moving all of it would cause oscillation. */
     double part = 0.5;
-    /** Less load than this share of what should move is not worth the disturbance. */
-    double leastPart = 0.25;
-    /** Ranges that move at once: a holder may have many small ones, none of which weighs much. */
+    /** A move of less than this share of the intended load is not worth the disruption. */
+    double minPart = 0.25;
+    /** Ranges that move at once. A holder may have many small ranges, each with little load. */
     size_t ranges = 6;
-    /** Loads are reported a second late and fade over three: a second move sooner would act on the
-     *  load from before the first. */
+    /**
+     * Minimum time between two moves. Loads are reported one second late and decay over three
+     * seconds, so an earlier second move would be based on the load from before the first one.
+     */
     milliseconds pause{3000};
 };
 
 /**
- * How many backend servers are looked at for one balancing move. All holders see the same reports,
- * a second old: with 41 of them, six chose the same idlest one within a second and each other's
- * keys waited there. The idlest of three random ones is a good one, and rarely everybody's.
+ * Number of backend servers considered for one balancing move. All holders see the same reports,
+ * which are a second old: with 41 holders, six of them chose the same least loaded backend server
+ * within one second, and the moved keys waited there. The least loaded of three random candidates
+ * is still a good choice, and rarely the choice of all holders.
  */
 inline constexpr size_t BalanceSample = 3;
 /**
- * How many backend servers get the keys of one that leaves. Cut into a piece for each of 40, they
- * made the table ten times as long, and each piece costs a release, a write and a grant.
+ * Number of backend servers that receive the keys of a leaving one. Dividing the keys among 40
+ * backend servers made the table ten times as long, and each part costs a release, a write and a
+ * grant.
  */
-inline constexpr size_t GiveAwaySample = 6;
+inline constexpr size_t DistributionSample = 6;
 
 /** @return @p most of @p candidates, drawn at random; all of them if there are no more. */
 std::vector<RangeCandidate> drawCandidates(std::vector<RangeCandidate> candidates, size_t most,
                                            std::mt19937_64 &random);
 
 /**
- * Divides @p spans among @p candidates so that their loads come out level. The load of the spans
- * is taken from @p rates; with @p rates empty, it is taken to be even over the keys.
- * @param rates Sorted by key. @return Empty if there are no candidates.
+ * Divides @p spans among @p candidates so that their loads become as equal as possible. The load
+ * of the keys is taken from @p rates; if @p rates is empty, it is assumed to be spread evenly over
+ * the keys.
+ * @param rates Sorted by key.
+ * @return Empty if there are no candidates.
  */
-std::vector<RangeMove> planGiveAway(const std::vector<KeySpan> &spans,
-                                    const std::vector<KeyRate> &rates,
-                                    const std::vector<RangeCandidate> &candidates);
+std::vector<RangeMove> planDistribution(const std::vector<KeySpan> &spans,
+                                        const std::vector<KeyRate> &rates,
+                                        const std::vector<RangeCandidate> &candidates);
 
-/** @return The half of the widest of @p spans for a candidate without keys, where no load tells
- *          what it should get. */
-std::optional<RangeMove> planFirstShare(const std::vector<KeySpan> &spans,
-                                        const RangeCandidate &newcomer);
+/**
+ * @return The upper half of the widest of @p spans, for a candidate that holds no keys yet. Used
+ *         if no load figures show which keys it should get.
+ */
+std::optional<RangeMove> planInitialShare(const std::vector<KeySpan> &spans,
+                                          const RangeCandidate &newcomer);
 
 /**
- * Decides whether a busy holder gives a part of its keys to the least busy candidate.
- * Whole ranges go first; a part is cut at an end of a range, so that their number grows little. A
- * key that is busier than the whole difference stays where it is: its neighbours move instead. Only
- * if one key alone keeps a slow backend server busy, and a faster one would be less busy with it,
- * does that key move.
- * @return What moves; empty if nothing should.
+ * Decides whether a busy holder moves some of its keys to the least loaded candidate.
+ *
+ * Whole ranges are moved first. Otherwise a part is split off at an end of a range, so that the
+ * number of ranges grows little. A key with more load than the whole difference stays where it is,
+ * and its neighbours move instead. Such a key moves only if it alone keeps a slow backend server
+ * busy and a faster one would be less busy with it.
+ * @return The moves; empty if nothing should move.
  */
 std::vector<RangeMove> planBalance(const RangeCandidate &self, const std::vector<KeySpan> &spans,
                                    const std::vector<KeyRate> &rates,
--- a/src/decision/range/range_table.cpp
+++ b/src/decision/range/range_table.cpp
@@ -1,4 +1,5 @@
-/** @file range_table.cpp Changes of a range table; each gives a new table. */
+/** @file range_table.cpp Operations on a range table; each returns a new table or edits its
+ * argument. */
 
 #include "decision/range/range_type.h"
 
@@ -20,7 +21,7 @@
     table.entries.insert(next, std::move(part));
 }
 
-void mergeEqual(RangeTable &table)
+void mergeAdjacent(RangeTable &table)
 {
     std::vector<RangeEntry> merged;
     for (RangeEntry &entry : table.entries) {
@@ -42,8 +43,8 @@
     return next == entries.begin() ? nullptr : &*std::prev(next);
 }
 
-RangeTable giveRange(RangeTable table, const KeySpan &span, const RangeHolder &holder,
-                     const std::string &handover)
+RangeTable assignRange(RangeTable table, const KeySpan &span, const RangeHolder &holder,
+                       const std::string &handover)
 {
     if (table.entries.empty()) {
         table.entries.push_back({});
@@ -60,12 +61,12 @@
             entry.handover = handover;
         }
     }
-    mergeEqual(table);
+    mergeAdjacent(table);
     return table;
 }
 
-std::vector<std::pair<KeySpan, RangeHolder>> cutByShares(const KeySpan &span,
-                                                         const std::vector<HolderShare> &shares)
+std::vector<std::pair<KeySpan, RangeHolder>> splitByShares(const KeySpan &span,
+                                                           const std::vector<HolderShare> &shares)
 {
     double total = 0;
     for (const HolderShare &share : shares) {
@@ -91,8 +92,8 @@
 RangeTable makeRangeTable(const std::vector<HolderShare> &shares)
 {
     RangeTable table;
-    for (const auto &[span, holder] : cutByShares(KeySpan{}, shares)) {
-        table = giveRange(std::move(table), span, holder, {});
+    for (const auto &[span, holder] : splitByShares(KeySpan{}, shares)) {
+        table = assignRange(std::move(table), span, holder, {});
     }
     return table;
 }
@@ -110,7 +111,7 @@
         }
         entry.holder = self;
     }
-    mergeEqual(table);
+    mergeAdjacent(table);
     return table;
 }
 
--- a/src/decision/range/range_type.h
+++ b/src/decision/range/range_type.h
@@ -1,4 +1,4 @@
-/** @file range_type.h Ordered key ranges of a sharded service, and who holds each of them. */
+/** @file range_type.h Ordered key ranges of a sharded service and their holders. */
 
 #pragma once
 
@@ -12,12 +12,12 @@
 
 namespace wisteriahoist {
 
-/** A key of a sharded service: a number whose neighbours tend to be busy together. */
+/** A key of a sharded service. Neighbouring keys tend to be busy at the same time. */
 using ShardKey = StrongId<struct ShardKeyTag, uint32_t>;
 
 inline constexpr ShardKey LastShardKey{65535};
 
-/** Keys from first to last, both included. */
+/** The keys from first to last, both inclusive. */
 struct KeySpan {
     ShardKey first;
     ShardKey last = LastShardKey;
@@ -30,31 +30,32 @@
 };
 
 /**
- * Who holds a range: one life of a backend server beside one life of a node. A new life of either
- * is another holder, so that what an older life was given is never taken for its own.
+ * The holder of a range: one incarnation of a backend server paired with one incarnation of a
+ * node. A new incarnation of either is a different holder, so that ranges granted to an earlier
+ * incarnation are never mistaken for its own.
  */
 struct RangeHolder {
-    NodeId node;      ///< InvalidNode: nobody.
-    Incarnation life; ///< Of the node's process.
+    NodeId node;      ///< InvalidNode: no holder.
+    Incarnation life; ///< Incarnation of the node process.
     BackendIncarnation backend;
     bool operator==(const RangeHolder &) const = default;
 
-    bool isNobody() const { return node == InvalidNode; }
+    bool isUnassigned() const { return node == InvalidNode; }
 };
 
-/** One range; it ends where the next one begins. */
+/** One range. It ends where the next one begins. */
 struct RangeEntry {
     ShardKey first;
     RangeHolder holder;
-    Epoch fence;          ///< Rises with each change of the backend server that holds the range.
-    std::string handover; ///< From the last holder's release; empty: none.
+    Epoch fence;          ///< Increases whenever another backend server becomes the holder.
+    std::string handover; ///< Hand-over token from the release by the previous holder; empty: none.
     bool operator==(const RangeEntry &) const = default;
 };
 
 /**
  * The ranges of one service.
- * Invariant: sorted by first and the first begins at 0, unless empty; no fence is above
- * highestFence, and highestFence never falls.
+ * Invariant: entries are sorted by first, and unless the table is empty the first entry begins at
+ * 0. No fence is above highestFence, and highestFence never decreases.
  */
 struct RangeTable {
     Epoch highestFence;
@@ -69,44 +70,48 @@
         return {entries[index].first, last};
     }
 
-    /** @return The entry that holds @p key; nullptr only if the table is empty. */
+    /** @return The entry that contains @p key; nullptr only if the table is empty. */
     const RangeEntry *find(ShardKey key) const;
 };
 
-/** Makes an entry begin at @p key. */
+/** Splits the entry that contains @p key so that an entry begins at @p key. */
 void splitAt(RangeTable &table, ShardKey key);
 
-/** Joins neighbours that differ in nothing but their keys. */
-void mergeEqual(RangeTable &table);
+/** Merges adjacent entries that differ only in their keys. */
+void mergeAdjacent(RangeTable &table);
 
-/** A share of the keys for one holder. */
+/** The share of the keys that one holder receives. */
 struct HolderShare {
     RangeHolder holder;
-    double share = 1; ///< Relative to the others; above 0.
+    double share = 1; ///< Relative to the other shares; greater than 0.
 };
 
-/** @return @p table with @p span given to @p holder under a fence above all earlier ones. */
-RangeTable giveRange(RangeTable table, const KeySpan &span, const RangeHolder &holder,
-                     const std::string &handover);
+/** @return @p table with @p span assigned to @p holder under a fence above all earlier ones. */
+RangeTable assignRange(RangeTable table, const KeySpan &span, const RangeHolder &holder,
+                       const std::string &handover);
 
-/** @return @p span cut into one part for each share, in order; empty parts are left out. */
-std::vector<std::pair<KeySpan, RangeHolder>> cutByShares(const KeySpan &span,
-                                                         const std::vector<HolderShare> &shares);
+/** @return @p span divided into one part per share, in order; empty parts are omitted. */
+std::vector<std::pair<KeySpan, RangeHolder>> splitByShares(const KeySpan &span,
+                                                           const std::vector<HolderShare> &shares);
 
-/** @return A new table whose keys are divided by @p shares. @pre There is at least one. */
+/**
+ * @return A new table whose keys are divided according to @p shares.
+ * @pre There is at least one share.
+ */
 RangeTable makeRangeTable(const std::vector<HolderShare> &shares);
 
 /**
- * Takes over what an earlier life of the own node or backend server held. The same life of the
- * backend server keeps fence and keys, since it never stopped holding them; a new one gets a new
- * fence and no handover.
+ * Takes over the ranges of an earlier incarnation of this node or of its backend server. If the
+ * backend server is still the same incarnation, fence and keys stay the same, since it never
+ * stopped holding the keys. A new incarnation of the backend server gets a new fence and no
+ * hand-over token.
  */
 RangeTable adoptRanges(RangeTable table, const RangeHolder &self);
 
-/** @return How many keys @p node holds. */
+/** @return The number of keys that @p node holds. */
 uint32_t countKeys(const RangeTable &table, NodeId node);
 
-/** @return How many keys each node holds; nodes without any are left out. */
+/** @return The number of keys per node; nodes that hold none are omitted. */
 std::map<NodeId, uint32_t> countKeysByNode(const RangeTable &table);
 
 } // namespace wisteriahoist
--- a/src/decision/range/store_lease.cpp
+++ b/src/decision/range/store_lease.cpp
@@ -1,4 +1,4 @@
-/** @file store_lease.cpp The lease in the platform's store under which a node may grant keys. */
+/** @file store_lease.cpp The lease in the platform's store that allows a node to grant keys. */
 
 #include "decision/range/store_lease.h"
 
@@ -11,12 +11,12 @@
     const auto beyond = static_cast<int64_t>(std::clamp(nodes, times.smallFleet, times.largeFleet)
                                              - times.smallFleet);
     const auto span = static_cast<int64_t>(times.largeFleet - times.smallFleet);
-    return times.renewEvery + (times.longestRenewEvery - times.renewEvery) * beyond / span;
+    return times.renewInterval + (times.maxRenewInterval - times.renewInterval) * beyond / span;
 }
 
 bool StoreLease::beginRenewal(TimePoint now)
 {
-    if (inFlight_ || (sentAt_ != NeverTime && now - sentAt_ < renewEvery_)) {
+    if (inFlight_ || (sentAt_ != NeverTime && now - sentAt_ < renewInterval_)) {
         return false;
     }
     inFlight_ = true;
@@ -45,7 +45,7 @@
     }
 }
 
-bool LeaseObserver::isOver(TimePoint now) const
+bool LeaseObserver::hasExpired(TimePoint now) const
 {
     if (unchangedSince_ == NeverTime) {
         return false;
--- a/src/decision/range/store_lease.h
+++ b/src/decision/range/store_lease.h
@@ -1,4 +1,4 @@
-/** @file store_lease.h The lease in the platform's store under which a node may grant keys. */
+/** @file store_lease.h The lease in the platform's store that allows a node to grant keys. */
 
 #pragma once
 
@@ -6,92 +6,107 @@
 
 namespace wisteriahoist {
 
-/** Times of the lease. */
+/** Timing of the lease. */
 struct StoreLeaseTimes {
     /**
-     * How long a renewal counts, from its sending. Longer than the store's usual outages (4.5 to 9
-     * s on the users' sites), since nobody can take keys over while the store is away and stopping
-     * would only turn callers down; a lost node's keys wait for it, so no longer than that.
+     * How long a renewal is valid, counted from its sending. Longer than the usual outages of the
+     * store (4.5 to 9 s on the users' sites): while the store is unavailable no other node can
+     * take over the keys, so a node that stopped granting would only make requests fail. The keys
+     * of a lost node stay unavailable until the lease expires, so the term is no longer than that.
      */
     milliseconds term{9000};
-    /** Leaves room for five renewals that are lost before the term is over. */
-    milliseconds renewEvery{1500};
+    /** Five renewals may be lost before the lease expires. */
+    milliseconds renewInterval{1500};
     /**
-     * The same in a large fleet, whose renewals are most of its writes while the rate that the
-     * store takes grows more slowly: room for two that are lost. In between it grows with the
-     * number of nodes.
+     * Renewal interval in a large fleet, where two renewals may be lost. There, renewals make up
+     * most of the store's writes, and the write rate that the store can handle grows more slowly
+     * than the fleet. For fleets between smallFleet and largeFleet the interval grows linearly
+     * with the number of nodes.
      */
-    milliseconds longestRenewEvery{2500};
+    milliseconds maxRenewInterval{2500};
     size_t smallFleet = 20;
     size_t largeFleet = 100;
-    /** Clocks of two machines may differ by 2%; the taker adds this share of the term. */
+    /**
+     * Clocks of two machines may differ by 2%; a node that takes over waits for this share of the
+     * term in addition.
+     */
     double driftShare = 0.02;
-    /** Time on the way of the last grant that is sent under the lease. */
+    /** Allowance for the transmission of the last grant that is sent under the lease. */
     milliseconds slack{300};
 };
 
-/** @return How often each of @p nodes renews its lease. */
+/** @return The renewal interval of a node in a fleet of @p nodes nodes. */
 milliseconds renewalInterval(const StoreLeaseTimes &times, size_t nodes);
 
-/** The holder's side: until when may this node grant? */
+/** The holder's part: determines until when this node may grant. */
 class StoreLease
 {
 public:
-    explicit StoreLease(StoreLeaseTimes times) : times_(times), renewEvery_(times.renewEvery) { }
+    explicit StoreLease(StoreLeaseTimes times) : times_(times), renewInterval_(times.renewInterval)
+    { }
 
-    /** The fleet has @p nodes at present. */
-    void onFleetSize(size_t nodes) { renewEvery_ = renewalInterval(times_, nodes); }
+    /** Updates the renewal interval for a fleet of @p nodes nodes. */
+    void onFleetSize(size_t nodes) { renewInterval_ = renewalInterval(times_, nodes); }
 
-    /** @return Whether a renewal is to be sent now; if so, it counts as sent. */
+    /** @return Whether a renewal is to be sent now; if so, it is recorded as in flight. */
     bool beginRenewal(TimePoint now);
 
     /**
-     * The store has taken a renewal.
-     * @param sentAt When it was sent: the store may have taken it at any time since, and a taker
-     *        counts from then, so the answer's arrival must not extend the lease.
+     * The store has accepted a renewal.
+     * @param sentAt When the renewal was sent. The store may have accepted it at any time since
+     *        then, and a node that takes over counts from that time, so the lease must not be
+     *        extended from the arrival of the answer.
      */
     void onRenewed(TimePoint sentAt);
 
-    /** The renewal ended without an answer or with a refusal that says nothing about the lease. */
+    /**
+     * The renewal ended without an answer, or with an error that does not concern the lease
+     * itself.
+     */
     void onFailed() { inFlight_ = false; }
 
-    /** The next renewal is due at once: the last one ended without renewing anything. */
+    /**
+     * Makes the next renewal due at once, because the last one ended without renewing the lease.
+     */
     void retryNow() { sentAt_ = NeverTime; }
 
-    /** Another node has taken the lease away. */
+    /** Another node has revoked the lease. */
     void onRevoked();
 
     TimePoint validUntil() const { return validUntil_; }
 
-    /** @return When the renewal that is on its way was sent. */
+    /** @return When the renewal that is in flight was sent. */
     TimePoint sentAt() const { return sentAt_; }
 
     bool isValid(TimePoint now) const { return now < validUntil_; }
 
 private:
     StoreLeaseTimes times_;
-    milliseconds renewEvery_;
+    milliseconds renewInterval_;
     TimePoint validUntil_ = NeverTime;
     TimePoint sentAt_ = NeverTime;
     bool inFlight_ = false;
 };
 
 /**
- * The taker's side: watches one lease object that has stopped changing.
- * A lease is over once its object has kept one revision for the term and what clocks may differ;
- * the taker then revokes it by a conditional update of that very revision, which fails if the
- * holder was only slow. So no clock of the holder is trusted beyond its rate.
+ * The part of a node that takes over: observes a lease record that has stopped changing. The lease
+ * has expired once the revision of its record has not changed for the term plus the possible clock
+ * difference. The lease is then revoked by a conditional update of exactly that revision, which
+ * fails if the holder was only slow. So of the holder's clock only the rate has to be trusted.
  */
 class LeaseObserver
 {
 public:
     explicit LeaseObserver(StoreLeaseTimes times) : times_(times) { }
 
-    /** The lease object was read at @p revision; 0: there is none, nothing has to be outwaited. */
+    /**
+     * The lease record was read at @p revision; 0: there is no lease, so no waiting time is
+     * needed.
+     */
     void onRead(uint64_t revision, TimePoint now);
 
     /** @return Whether the lease may be revoked at the observed revision. */
-    bool isOver(TimePoint now) const;
+    bool hasExpired(TimePoint now) const;
 
     uint64_t revision() const { return revision_; }
 
--- a/src/duty/range_controller.cpp
+++ b/src/duty/range_controller.cpp
@@ -1,5 +1,5 @@
-/** @file range_controller.cpp Keeps the keys of the backend server beside this node: lease, orders,
- * and which ranges begin to move. */
+/** @file range_controller.cpp Manages the keys of the backend server of this node: lease, calls to
+ * the backend server, and the start of moves. */
 
 #include "duty/range_controller.h"
 
@@ -12,24 +12,32 @@
 
 namespace {
 
-/** Grants are renewed each 0.6 s, so a sixth of it is soon enough to look at what is due. */
-constexpr milliseconds Tick{100};
-/** Without keys to keep there is little to look at. */
-constexpr milliseconds IdleTick{1000};
-/** A grant is answered in about a millisecond; one that takes longer has been lost. */
+/** Grants are renewed every 0.6 s; checking for due work six times as often is sufficient. */
+constexpr milliseconds TickInterval{100};
+/** Used while this node has no sharded service to manage, so that little can become due. */
+constexpr milliseconds IdleTickInterval{1000};
+/**
+ * A grant is normally answered within about a millisecond, so one that takes this long was lost.
+ */
 constexpr milliseconds GrantTimeout{400};
-/** A release is answered when the running work has ended; sent again after so long, it may have
- *  been lost. */
+/**
+ * A release is answered when the running requests have ended. After this time it may have been
+ * lost and is sent again.
+ */
 constexpr milliseconds ReleaseTimeout{1500};
-/** Two renewals of the lease in a row have failed after so long. */
-constexpr milliseconds StoreNear{3500};
-/** Keys go only to nodes that have answered this node so lately. */
-constexpr milliseconds HeardWithin{4000};
-/** A backend server that lives sends a heartbeat about every second and answers looks meanwhile;
- * one that refuses connections for a moment keeps its keys. Grants run for longer, so the keys of
- * one that has crashed do not wait for this. */
-constexpr milliseconds SignOfLifeWithin{2000};
-/** A node that has not been reached for so long may be lost; its witnesses and its lease decide. */
+/** By then, two consecutive renewals of the lease have failed. */
+constexpr milliseconds StoreReachableWithin{3500};
+/** Keys move only to nodes that have answered this node within this time. */
+constexpr milliseconds PeerHeardWithin{4000};
+/**
+ * A running backend server sends a heartbeat about every second and answers checks in between. One
+ * that refuses connections only for a moment keeps its keys. Grants last longer than this, so the
+ * keys of a crashed backend server are not delayed by it.
+ */
+constexpr milliseconds BackendSilenceLimit{2000};
+/**
+ * A node that has been unreachable for this long may be lost; its witnesses and its lease decide.
+ */
 constexpr milliseconds SuspectAfter{500};
 
 } // namespace
@@ -39,20 +47,20 @@
     return std::to_string(holder.node.value()) + "/" + holder.backend.text();
 }
 
-RangeController::RangeController(const RangeDutyPorts &ports, FleetView &view,
+RangeController::RangeController(const RangeControllerPorts &ports, FleetView &view,
                                  BackendMonitor &monitor, PeerLoads &loads,
                                  const MemberRecord &self, GrantTimes grants)
     : context_(ports.context), clock_(ports.clock), timers_(ports.timers),
       randomSource_(ports.random), store_(ports.store), backend_(ports.backend),
       peers_(ports.peers), view_(view), monitor_(monitor), loads_(loads), self_(self),
       session_(generateIncarnation(ports.random)),
-      keeper_(grants, GrantManager::lapseOf(grants, grants.hold, ports.clock.now())),
+      grantManager_(grants, GrantManager::expiryOf(grants, grants.hold, ports.clock.now())),
       witnessContact_(ports.context, ports.clock, ports.random, ports.peers, view, loads,
                       authority_, self.node, self.failureDomain),
       random_(ports.random.next()), wakeTimer_(ports.timers.make())
 {
-    peers_.serve(std::string(RangeNewsPath),
-                 [this](std::string body) { return onTold(std::move(body)); });
+    peers_.serve(std::string(RangeUpdatePath),
+                 [this](std::string body) { return onRangeUpdate(std::move(body)); });
 }
 
 void RangeController::start()
@@ -89,15 +97,15 @@
     return service() != nullptr && service()->sharded;
 }
 
-bool RangeController::isStoreNear(TimePoint now) const
+bool RangeController::isStoreReachable(TimePoint now) const
 {
-    return now - authority_.renewedAt() < StoreNear;
+    return now - authority_.renewedAt() < StoreReachableWithin;
 }
 
 bool RangeController::hasTransferableKeys(TimePoint now) const
 {
     const StoredTable *stored = view_.findTable(self_.service);
-    return stored != nullptr && isStoreNear(now) && countKeys(stored->table, self_.node) > 0
+    return stored != nullptr && isStoreReachable(now) && countKeys(stored->table, self_.node) > 0
            && !candidates(now, false).empty();
 }
 
@@ -106,7 +114,8 @@
     if (monitor_.backend().empty()) {
         return std::nullopt;
     }
-    // Granted in an answer to its heartbeat only; the heartbeat also tells which life it is.
+    // Ranges are granted only in replies to heartbeats, and the heartbeat also identifies the
+    // incarnation.
     if (grantsByHeartbeat() && !monitor_.hasReported()) {
         return std::nullopt;
     }
@@ -116,11 +125,12 @@
 RequestEnd RangeController::check(ShardKey key, TimePoint now) const
 {
     const TimePoint until = authority_.validUntil();
-    if (keeper_.admits(key, until, now)) {
+    if (grantManager_.admits(key, until, now)) {
         return RequestEnd::None;
     }
-    // Without authority it takes seconds until anybody serves the key again.
-    const bool moving = keeper_.isLeaving(key) || until > now;
+    // While this node may not grant (lease or witness contact expired), it takes seconds until any
+    // node serves the key again.
+    const bool moving = grantManager_.isLeaving(key) || until > now;
     return moving ? RequestEnd::NotOwner : RequestEnd::NoLease;
 }
 
@@ -128,7 +138,7 @@
 {
     const StoredTable *stored = view_.findTable(self_.service);
     const RangeEntry *entry = stored == nullptr ? nullptr : stored->table.find(key);
-    if (entry == nullptr || entry->holder.isNobody() || entry->holder.node == self_.node) {
+    if (entry == nullptr || entry->holder.isUnassigned() || entry->holder.node == self_.node) {
         return std::nullopt;
     }
     return KeyOwner{entry->holder.node, entry->fence};
@@ -155,11 +165,11 @@
     }
     for (const MemberRecord *member : view_.readyMembers(self_.service)) {
         const bool self = member->node == self_.node;
-        // A record outlives its node while the store is away, and says "ready" of one that leaves
-        // meanwhile; only an answer shows that it lives and stays. Three nodes that left during an
-        // outage gave their keys to each other, and a quarter of all requests were refused for the
-        // 6 s until the last lease had been taken away.
-        const bool heard = now - loads_.heardAt(member->node) < HeardWithin
+        // A member record remains while the store is unavailable and still says "ready" if the
+        // node leaves meanwhile; only an answer shows that the node is running and stays. Without
+        // this check, three nodes that left during an outage moved their keys to each other, and a
+        // quarter of all requests were refused for the 6 s until the last lease had been revoked.
+        const bool heard = now - loads_.heardAt(member->node) < PeerHeardWithin
                            && !loads_.isLeaving(member->node, now);
         if ((self && !withSelf) || (!self && !heard)) {
             continue;
@@ -175,7 +185,7 @@
     return found;
 }
 
-const MemberRecord *RangeController::firstOfService(TimePoint now) const
+const MemberRecord *RangeController::findCoordinator(TimePoint now) const
 {
     for (const MemberRecord *member : view_.readyMembers(self_.service)) {
         if (member->node == self_.node || !isUnreachable(member->node, now)) {
@@ -192,31 +202,31 @@
         const bool sharded = isSharded();
         if (sharded) {
             if (const StoredTable *stored = view_.findTable(self_.service)) {
-                keeper_.onTable(stored->table, holder(), now);
+                grantManager_.onTable(stored->table, holder(), now);
             }
-            if (!keeper_.hasLeaving()) {
+            if (!grantManager_.hasLeaving()) {
                 targets_.clear();
             }
             startLeaving(now);
             startBalancing(now);
-            sendOrders(now);
-            releaseHeldAnswer(now);
+            sendRequests(now);
+            releaseDelayedReply(now);
         }
-        leftOutLines_.logDropped(now);
-        givenOnLines_.logDropped(now);
-        offeredLines_.logDropped(now);
-        co_await wakeTimer_->wait(sharded ? Tick : IdleTick);
+        omittedRangesLog_.logDropped(now);
+        handOverLog_.logDropped(now);
+        grantLog_.logDropped(now);
+        co_await wakeTimer_->wait(sharded ? TickInterval : IdleTickInterval);
     }
 }
 
-void RangeController::sendOrders(TimePoint now)
+void RangeController::sendRequests(TimePoint now)
 {
     const auto spawn = [this](asio::awaitable<void> work) {
         asio::co_spawn(context_, std::move(work), asio::detached);
     };
-    // Without keys, a backend server that has crashed for good needs no lease.
+    // A backend server that has crashed for good and holds no keys needs no lease.
     const bool inUse
-            = keeper_.size() > 0 || (holder().has_value() && !monitor_.refusesConnections());
+            = grantManager_.size() > 0 || (holder().has_value() && !monitor_.refusesConnections());
     authority_.lease().onFleetSize(view_.members().size());
     if (authority_.needsRenewal(now)) {
         authority_.lease().retryNow();
@@ -228,73 +238,76 @@
     if (inUse) {
         const Incarnation life = session_;
         witnessContact_.sendHeartbeats(
-                life, [this, life]() { return session_ == life; }, [this]() { lostLease(); }, now);
+                life, [this, life]() { return session_ == life; }, [this]() { onLeaseLost(); },
+                now);
     }
     if (!writing_) {
         writing_ = true;
         spawn(planOnce());
     }
-    if (checking_ == 0 && now - probedAt_ >= WatchEvery) {
+    if (checking_ == 0 && now - probedAt_ >= HolderCheckInterval) {
         probedAt_ = now;
-        watchOthers();
-        probeQuiet(now);
+        checkHolders();
+        probeSilentNodes(now);
     }
-    // One that refuses connections may have crashed, and its next life must not be granted the old
-    // one's fences; if it lives, more orders would take the connections that it lacks.
+    // A backend server that refuses connections may have crashed, and its next incarnation must
+    // not be granted ranges under the old fences. If it is still running, more calls would take
+    // the connections that it is short of.
     if (grantsByHeartbeat() || monitor_.refusesConnections()) {
         return;
     }
     std::vector<HeldKeys> granted;
     milliseconds hold{0};
-    for (GrantRequest &order : keeper_.takeDueGrants(authority_.validUntil(), now)) {
-        if (!order.renews) {
-            granted.push_back({order.span, order.fence});
-            hold = order.hold;
+    for (GrantRequest &request : grantManager_.takeDueGrants(authority_.validUntil(), now)) {
+        if (!request.renews) {
+            granted.push_back({request.span, request.fence});
+            hold = request.hold;
         }
-        spawn(sendGrant(std::move(order)));
+        spawn(sendGrant(std::move(request)));
     }
     logGranted(granted, hold, {}, now);
-    for (const ReleaseRequest &order : keeper_.takeDueReleases(now)) {
-        spawn(sendRelease(order));
+    for (const ReleaseRequest &request : grantManager_.takeDueReleases(now)) {
+        spawn(sendRelease(request));
     }
 }
 
-asio::awaitable<void> RangeController::sendGrant(GrantRequest order)
+asio::awaitable<void> RangeController::sendGrant(GrantRequest request)
 {
-    const ControlReply answer = co_await backend_.grant(order, GrantTimeout);
-    keeper_.onGrantEnd(order, answer.result);
+    const ControlReply answer = co_await backend_.grant(request, GrantTimeout);
+    grantManager_.onGrantEnd(request, answer.result);
     if (answer.result == ControlResult::Accepted || answer.result == ControlResult::StaleFence) {
-        noteMonitorChange(monitor_.onAnswer(clock_.now()));
+        notifyMonitorChange(monitor_.onAnswer(clock_.now()));
     }
     if (answer.result == ControlResult::StaleFence) {
-        logEvent(LogEvent::GrantRefused, {{"first", order.span.first.value()},
-                                          {"last", order.span.last.value()},
-                                          {"fence", order.fence.value()}});
+        logEvent(LogEvent::GrantRefused, {{"first", request.span.first.value()},
+                                          {"last", request.span.last.value()},
+                                          {"fence", request.fence.value()}});
     }
     if (answer.result == ControlResult::NotSent) {
-        noteMonitorChange(monitor_.onRefusedConnection());
+        notifyMonitorChange(monitor_.onRefusedConnection());
     }
     wake();
 }
 
-/** Gate and member record follow at once, as when a request finds the change out. */
-void RangeController::noteMonitorChange(bool changed)
+/** Updates gate and member record at once, as when a request detects the change. */
+void RangeController::notifyMonitorChange(bool changed)
 {
     if (changed && monitorChanged_) {
         monitorChanged_();
     }
 }
 
-asio::awaitable<void> RangeController::sendRelease(ReleaseRequest order)
+asio::awaitable<void> RangeController::sendRelease(ReleaseRequest request)
 {
-    const ControlReply answer = co_await backend_.release(order, ReleaseTimeout);
-    keeper_.onReleaseEnd(order, answer.result, answer.handover, clock_.now());
+    const ControlReply answer = co_await backend_.release(request, ReleaseTimeout);
+    grantManager_.onReleaseEnd(request, answer.result, answer.handover, clock_.now());
     wake();
 }
 
-void RangeController::lostLease()
+void RangeController::onLeaseLost()
 {
-    const auto left = std::chrono::duration_cast<milliseconds>(keeper_.lastLapse() - clock_.now());
+    const auto left
+            = std::chrono::duration_cast<milliseconds>(grantManager_.lastExpiry() - clock_.now());
     logEvent(LogEvent::LeaseLost, {{"session", session_.value()},
                                    {"own_grants_run_ms", std::max<int64_t>(0, left.count())}});
     authority_.onRevoked();
@@ -335,9 +348,9 @@
             if (stored) {
                 leaseRevision_ = stored.assume_value().revision;
                 Result<LeaseRecord> known = decodeLease(stored.assume_value().content);
-                // An own renewal whose answer was lost looks like a conflict too.
+                // A renewal by this node whose answer was lost causes a conflict as well.
                 if (known && known.assume_value().revokedBy != InvalidNode) {
-                    lostLease();
+                    onLeaseLost();
                 }
                 authority_.lease().retryNow();
             }
@@ -350,18 +363,19 @@
 void RangeController::startLeaving(TimePoint now)
 {
     const bool lost = monitor_.state() == BackendState::Down
-                      && now - monitor_.heardAt() >= SignOfLifeWithin;
-    // Without the store nobody could take the keys; released, they would be served by nobody, while
-    // a node that keeps them has them again right after its restart.
-    const bool leaving
-            = (stopping_ && isStoreNear(now)) || monitor_.state() == BackendState::Draining || lost;
-    const std::vector<KeySpan> held = keeper_.heldSpans();
+                      && now - monitor_.heardAt() >= BackendSilenceLimit;
+    // While the store is unavailable no other node could take the keys. If they were released,
+    // they would not be served at all, whereas a node that keeps them serves them again right
+    // after its restart.
+    const bool leaving = (stopping_ && isStoreReachable(now))
+                         || monitor_.state() == BackendState::Draining || lost;
+    const std::vector<KeySpan> held = grantManager_.heldSpans();
     if (!leaving || held.empty()) {
         return;
     }
     const std::vector<RangeMove> moves
-            = planGiveAway(held, load_.rates(KeySpan{}, now),
-                           drawCandidates(candidates(now, false), GiveAwaySample, random_));
+            = planDistribution(held, load_.rates(KeySpan{}, now),
+                               drawCandidates(candidates(now, false), DistributionSample, random_));
     const std::string_view other = lost ? "backend server down" : "backend server leaves";
     for (const RangeMove &move : moves) {
         beginMove(move, stopping_ ? "node stops" : other, now);
@@ -370,10 +384,10 @@
 
 void RangeController::startBalancing(TimePoint now)
 {
-    const std::vector<KeySpan> held = keeper_.heldSpans();
+    const std::vector<KeySpan> held = grantManager_.heldSpans();
     BalanceLimits limits;
-    if (keeper_.hasLeaving()) {
-        movedAt_ = now; // Load is judged by what comes after a move, however long that takes.
+    if (grantManager_.hasLeaving()) {
+        movedAt_ = now; // Load is judged only after a move has ended, however long that takes.
     }
     if (monitor_.state() != BackendState::Ready || held.empty()
         || now - std::max(movedAt_, startedAt_) < limits.pause) {
@@ -394,7 +408,8 @@
         busiest = busiest && other.busySlots / other.slots <= self.busySlots / self.slots;
     }
     if (!newcomers.empty() && busiest) {
-        // One that has no keys serves nobody: it gets its part even if nobody is short of room.
+        // A candidate without keys serves no requests, so it gets a share even if no holder is
+        // overloaded.
         limits.busyShare = 0;
         limits.margin = 0;
         others = newcomers;
@@ -403,7 +418,7 @@
     std::vector<RangeMove> moves
             = planBalance(self, held, load_.rates(KeySpan{}, now), others, limits);
     if (moves.empty() && !newcomers.empty() && busiest) {
-        if (const auto share = planFirstShare(held, newcomers.front())) {
+        if (const auto share = planInitialShare(held, newcomers.front())) {
             moves.push_back(*share);
         }
     }
@@ -416,7 +431,7 @@
 void RangeController::beginMove(const RangeMove &move, std::string_view cause, TimePoint now)
 {
     targets_.push_back(move);
-    keeper_.beginRelease(move.span);
+    grantManager_.beginRelease(move.span);
     logEvent(LogEvent::RangeLeaving, {{"first", move.span.first.value()},
                                       {"last", move.span.last.value()},
                                       {"to", holderText(move.holder)},
--- a/src/duty/range_controller.h
+++ b/src/duty/range_controller.h
@@ -1,6 +1,5 @@
-/** @file range_controller.h Keeps the keys of the backend server beside this node: lease, grants,
- * moves.
- */
+/** @file range_controller.h Manages the keys of the backend server of this node: lease, grants and
+ * moves. */
 
 #pragma once
 
@@ -24,8 +23,8 @@
 /** @return Node and backend server of @p holder, for the log. */
 std::string holderText(const RangeHolder &holder);
 
-/** What the duty reaches the rest of the world through; each outlives the duty. */
-struct RangeDutyPorts {
+/** Dependencies of the RangeController; each must outlive it. */
+struct RangeControllerPorts {
     asio::io_context &context;
     const Clock &clock;
     WakeTimerFactory &timers;
@@ -35,42 +34,51 @@
     PeerCalls &peers;
 };
 
-/** Asks another node whether it is there. @return Whether it answered. */
+/** Probes another node. @return Whether it answered. */
 using PeerProbe = std::function<asio::awaitable<bool>(const MemberRecord &)>;
 
 /**
- * Carries out what the range decisions say for the sharded service beside this node.
+ * Carries out the range decisions for the sharded service of this node.
+ *
+ * Every change of the table is a single conditional write. It takes a range from a holder only if
+ * that holder provably no longer holds it: the holder released it, all its grants have expired,
+ * another incarnation of the holder has started, or the lease of its node was revoked after it had
+ * expired. Therefore a write that is applied late, after its answer was lost, is as safe as one
+ * applied in time.
  *
- * Every change of the table is one conditional write, and takes a range only from a holder that
- * provably holds it no more: it released it, all its grants have run out, another life of it has
- * begun, or its node's lease was revoked after it had run out. A backend server that refuses
- * connections may live and hold what it was granted, so that is no proof: its keys leave as those
- * of any other that is down, by their grants' end, and are not granted anew meanwhile. So a write
- * that is done late, after its answer was lost, is as safe as in time.
+ * A backend server that refuses connections may still be running and hold what it was granted, so
+ * refused connections are no such proof. Its keys move once its grants have expired, as for any
+ * other backend server that is down, and are not granted again meanwhile.
  */
 class RangeController final : public KeyOwnership
 {
 public:
-    /** Where a node is told of ranges that it has just been given. */
-    static constexpr std::string_view RangeNewsPath = "/ranges";
-    /** How often the other holders of the service are looked at. */
-    static constexpr milliseconds WatchEvery{500};
+    /** Path of the call that notifies a node of ranges newly assigned to it. */
+    static constexpr std::string_view RangeUpdatePath = "/ranges";
+    /** How often the other holders of the service are checked. */
+    static constexpr milliseconds HolderCheckInterval{500};
 
-    RangeController(const RangeDutyPorts &ports, FleetView &view, BackendMonitor &monitor,
+    RangeController(const RangeControllerPorts &ports, FleetView &view, BackendMonitor &monitor,
                     PeerLoads &loads, const MemberRecord &self, GrantTimes grants);
 
     void start();
 
-    /** Something has changed: looks at everything soon. */
+    /** Makes the main loop run soon, because something has changed. */
     void wake();
 
-    /** The node ends soon: its keys go to others while its backend server still releases them. */
+    /**
+     * Starts the shutdown of this node: its keys move to other nodes while its backend server can
+     * still release them.
+     */
     void beginStop();
 
-    /** Ends the duty's loop; nothing is granted or renewed any more. */
+    /** Ends the main loop; no grants are sent or renewed after this. */
     void halt();
 
-    /** @param action Runs when an order shows that the backend server's state has changed. */
+    /**
+     * @param action Runs when the outcome of a call shows that the state of the backend server
+     *        changed.
+     */
     void onMonitorChange(std::function<void()> action) { monitorChanged_ = std::move(action); }
 
     void setPeerProbe(PeerProbe probe) { probe_ = std::move(probe); }
@@ -81,35 +89,38 @@
     double demand(TimePoint now) override { return load_.total(now); }
     bool isLeaving() const override { return stopping_ || monitor_.state() != BackendState::Ready; }
 
-    /** @return Whether the backend server learns from the answers to its heartbeats what it holds.
-     */
+    /** @return Whether the backend server is granted its keys in the replies to its heartbeats. */
     bool grantsByHeartbeat() const;
 
     /**
-     * Takes over what a heartbeat shows, and decides on its answer. That is held back for a while
-     * as long as nothing has changed: the next change then reaches the backend server at once,
-     * instead of with its next heartbeat.
-     * @param atOnce The answer acknowledges something that somebody waits for.
-     * @return What the answer grants; nothing: it leaves alone what is held.
+     * Processes the report of a heartbeat and determines the grants of its reply. The reply is
+     * delayed for a while as long as there is nothing to change, so that the next change reaches
+     * the backend server at once instead of with its next heartbeat.
+     * @param atOnce The reply must not be delayed, since the backend server waits for an
+     *        acknowledgement in it.
+     * @return The grants of the reply; std::nullopt: the reply must not change what is held.
      */
     asio::awaitable<std::optional<GrantReply>> handleHeartbeat(HeldKeysReport report, bool atOnce,
                                                                TimePoint receivedAt);
 
-    /** @return The life under which this node holds keys; a new one after its lease was revoked. */
+    /**
+     * @return The incarnation under which this node holds keys; a new one is drawn when its lease
+     *         is revoked.
+     */
     Incarnation session() const { return session_; }
 
-    /** @return Whether the table names this node for keys that another one could take. */
+    /** @return Whether the table assigns keys to this node that another node could take over. */
     bool hasTransferableKeys(TimePoint now) const;
 
 private:
-    /** The heartbeat whose answer grants ranges; none where they are granted by calls. */
-    struct AnsweredReport {
+    /** The heartbeat whose reply grants ranges; default values if ranges are granted by calls. */
+    struct AnsweredHeartbeat {
         uint64_t sequence = 0;
-        Duration heldBackFor{0};
+        Duration delayedFor{0};
     };
 
-    /** A heartbeat whose answer is held back. */
-    struct HeldAnswer {
+    /** A heartbeat whose reply is being delayed. */
+    struct DelayedReply {
         const HeldKeysReport *report = nullptr;
         WakeTimer *timer = nullptr;
     };
@@ -117,52 +128,52 @@
     const ServiceConfig *service() const;
     bool isSharded() const;
     bool hasRangesToAdopt() const;
-    bool hasHoldNews(const HeldKeysReport &report, TimePoint now) const;
-    asio::awaitable<void> awaitHoldNews(const HeldKeysReport &report, TimePoint receivedAt);
-    void releaseHeldAnswer(TimePoint now);
-    bool isStoreNear(TimePoint now) const;
+    bool hasGrantChanges(const HeldKeysReport &report, TimePoint now) const;
+    asio::awaitable<void> awaitGrantChanges(const HeldKeysReport &report, TimePoint receivedAt);
+    void releaseDelayedReply(TimePoint now);
+    bool isStoreReachable(TimePoint now) const;
     std::optional<RangeHolder> holder() const;
     std::vector<RangeCandidate> candidates(TimePoint now, bool withSelf) const;
-    const MemberRecord *firstOfService(TimePoint now) const;
+    const MemberRecord *findCoordinator(TimePoint now) const;
     bool isUnreachable(NodeId node, TimePoint now) const;
 
     asio::awaitable<void> tickLoop();
     asio::awaitable<void> renewLease();
-    asio::awaitable<void> sendGrant(GrantRequest order);
-    asio::awaitable<void> sendRelease(ReleaseRequest order);
+    asio::awaitable<void> sendGrant(GrantRequest request);
+    asio::awaitable<void> sendRelease(ReleaseRequest request);
     asio::awaitable<void> planOnce();
     asio::awaitable<void> writeTable(RangeTable next, StoredTable stored);
-    void tellHolders(const std::set<NodeId> &holders, const StoredRecord &written);
-    asio::awaitable<std::string> onTold(std::string body);
+    void notifyHolders(const std::set<NodeId> &holders, const StoredRecord &written);
+    asio::awaitable<std::string> onRangeUpdate(std::string body);
     asio::awaitable<bool> writeRecord(std::string name, RangeRecord record, StoreRevision over);
     StoreRevision knownRevision(const std::string &name) const;
     asio::awaitable<void> refreshTable();
-    void watchOthers();
-    void probeQuiet(TimePoint now);
+    void checkHolders();
+    void probeSilentNodes(TimePoint now);
     asio::awaitable<bool> fenceAtWitnesses(NodeId node, const LeaseRecord &lease);
     asio::awaitable<void> revoke(NodeId node, StoreRevision revision, std::string_view evidence);
-    void sendOrders(TimePoint now);
-    bool hasTableWork(const StoredTable &stored, TimePoint now) const;
+    void sendRequests(TimePoint now);
+    bool needsTableChange(const StoredTable &stored, TimePoint now) const;
     std::optional<RangeTable> planTable(const StoredTable &stored, TimePoint now);
     void logChange(std::string_view cause, const RangeTable &before, const RangeTable &after,
                    TimePoint now) const;
-    RangeTable giveFreeRanges(RangeTable table, TimePoint now);
-    RangeTable handReleasedOver(RangeTable table, TimePoint now);
-    void logGivenOn(const ReleasedRange &released, const RangeHolder &target,
-                    const RangeTable &table, TimePoint now);
-    void logOffered(const HeldKeysReport &report, const GrantReply &order, TimePoint receivedAt,
-                    TimePoint now);
+    RangeTable assignFreeRanges(RangeTable table, TimePoint now);
+    RangeTable handOverReleased(RangeTable table, TimePoint now);
+    void logHandOver(const ReleasedRange &released, const RangeHolder &target,
+                     const RangeTable &table, TimePoint now);
+    void logReplyGrants(const HeldKeysReport &report, const GrantReply &reply, TimePoint receivedAt,
+                        TimePoint now);
     void logGranted(const std::vector<HeldKeys> &granted, milliseconds hold,
-                    const AnsweredReport &answered, TimePoint now);
-    bool isFreeForAll(const RangeHolder &holder) const;
+                    const AnsweredHeartbeat &answered, TimePoint now);
+    bool isFree(const RangeHolder &holder) const;
     asio::awaitable<void> createTable();
     asio::awaitable<void> checkHolder(NodeId node);
     void startLeaving(TimePoint now);
     void startBalancing(TimePoint now);
     void beginMove(const RangeMove &move, std::string_view cause, TimePoint now);
     RangeHolder targetOf(const KeySpan &span, TimePoint now) const;
-    void lostLease();
-    void noteMonitorChange(bool changed);
+    void onLeaseLost();
+    void notifyMonitorChange(bool changed);
     std::function<void()> monitorChanged_;
 
     asio::io_context &context_;
@@ -176,8 +187,8 @@
     BackendMonitor &monitor_;
     PeerLoads &loads_;
     MemberRecord self_;
-    Incarnation session_; ///< Of the lease; a new one after the lease was revoked.
-    GrantManager keeper_;
+    Incarnation session_; ///< Incarnation of the lease; replaced when the lease is revoked.
+    GrantManager grantManager_;
     GrantAuthority authority_{StoreLeaseTimes{}, WitnessTimes{}};
     WitnessContact witnessContact_;
     StoreRevision leaseRevision_;
@@ -186,10 +197,11 @@
     std::mt19937_64 random_;
     PeerProbe probe_;
     std::unique_ptr<WakeTimer> wakeTimer_;
-    std::vector<RangeMove> targets_;            ///< Who is to get what is being released.
+    std::vector<RangeMove> targets_; ///< New holders of the ranges that are being released.
     std::map<NodeId, LeaseObserver> observers_; ///< Of nodes that do not answer.
-    std::map<NodeId, Takeover> takeovers_;      ///< Of the same, where witnesses are known.
-    /// Lives whose lease this node has taken away; a later life of the node is not among them.
+    std::map<NodeId, Takeover> takeovers_;      ///< Of such nodes whose witnesses are known.
+    /// Incarnations whose lease this node has revoked; later incarnations of the node are not
+    /// included.
     std::map<NodeId, std::set<Incarnation>> revoked_;
     TimePoint startedAt_ = NeverTime;
     TimePoint firstReadyAt_ = NeverTime; ///< When a backend server of the service was first ready.
@@ -197,23 +209,25 @@
     TimePoint probedAt_ = NeverTime;
     bool stopping_ = false;
     bool halted_ = false;
-    bool writing_ = false; ///< Invariant: at most one write of the table is on its way.
+    bool writing_ = false; ///< Invariant: at most one write of the table is in flight.
     bool renewing_ = false;
-    std::optional<HeldAnswer> heldAnswer_; ///< Of the newest heartbeat, while it waits.
-    RateLimitedEvent leftOutLines_{LogEvent::RangesLeftOut, 1, 5}; ///< Told with each heartbeat.
-    /// A plan whose write failed is made again.
-    RateLimitedEvent givenOnLines_{LogEvent::RangeGivenOn, 20, 200};
-    RateLimitedEvent offeredLines_{LogEvent::RangesOffered, 20, 200};
-    uint64_t reports_ = 0; ///< Heartbeats so far; only the newest one is granted to.
-    size_t checking_ = 0;  ///< Holders that are being looked at.
-    /** A record of ranges whose write failed: not written again before its newest state is known.
+    std::optional<DelayedReply> delayedReply_; ///< Of the latest heartbeat, while it waits.
+    /// May be logged with each heartbeat.
+    RateLimitedEvent omittedRangesLog_{LogEvent::RangesLeftOut, 1, 5};
+    /// A plan is made again if its write failed, so it may be logged repeatedly.
+    RateLimitedEvent handOverLog_{LogEvent::RangeGivenOn, 20, 200};
+    RateLimitedEvent grantLog_{LogEvent::RangesOffered, 20, 200};
+    uint64_t reports_ = 0; ///< Heartbeats so far; only the reply to the latest one grants keys.
+    size_t checking_ = 0;  ///< Number of holders that are being checked.
+    /**
+     * A range record whose write failed. It is not written again before its latest state is known.
      */
-    struct Unread {
-        StoreRevision over; ///< The newest revision that was known at the write.
-        TimePoint readAt;   ///< It is read then, if no news of it have come.
-        TimePoint writeAt;  ///< It is not written again before.
+    struct UnconfirmedRecord {
+        StoreRevision over; ///< Latest revision known at the time of the write.
+        TimePoint readAt;   ///< Read at this time unless an update has arrived before.
+        TimePoint writeAt;  ///< Earliest time of the next write.
     };
-    std::map<std::string, Unread> unread_;
+    std::map<std::string, UnconfirmedRecord> unconfirmedRecords_;
 };
 
 } // namespace wisteriahoist
--- a/src/duty/range_controller_heartbeat.cpp
+++ b/src/duty/range_controller_heartbeat.cpp
@@ -1,5 +1,5 @@
-/** @file range_controller_heartbeat.cpp What the answers to the backend server's heartbeats grant.
- */
+/** @file range_controller_heartbeat.cpp Key grants in the replies to heartbeats of the backend
+ * server. */
 
 #include "adapter/log/event_log.h"
 #include "duty/range_controller.h"
@@ -11,13 +11,14 @@
 namespace {
 
 /**
- * An answer without news is held back for so long. It counts only within a second of the sending of
- * its heartbeat, which is on its way for a moment and at times for longer.
+ * A reply without changes is delayed for this long. A reply is valid only within one second after
+ * its heartbeat was sent, and the transmission of the heartbeat usually takes a moment, but
+ * sometimes much longer.
  */
-constexpr milliseconds AnswerHeldFor{500};
-constexpr size_t SpansInLine = 12; ///< Bounds the length of a line.
+constexpr milliseconds MaxReplyDelay{500};
+constexpr size_t MaxSpansPerLine = 12; ///< Limits the length of a log line.
 
-std::string heldText(const HeldKeys &held)
+std::string heldKeysText(const HeldKeys &held)
 {
     return std::to_string(held.span.first.value()) + "-" + std::to_string(held.span.last.value())
            + "@" + std::to_string(held.fence.value());
@@ -33,77 +34,84 @@
 asio::awaitable<std::optional<GrantReply>>
 RangeController::handleHeartbeat(HeldKeysReport report, bool atOnce, TimePoint receivedAt)
 {
-    // The heartbeat may be the first of another life, whose predecessor's grants are still listed.
+    // The heartbeat may be the first of a new incarnation while grants to the previous incarnation
+    // are still listed.
     if (const StoredTable *stored = view_.findTable(self_.service)) {
-        keeper_.onTable(stored->table, holder(), receivedAt);
+        grantManager_.onTable(stored->table, holder(), receivedAt);
     }
-    keeper_.onHolds(report, receivedAt);
-    if (keeper_.hasLeaving()) {
+    grantManager_.onHeldKeysReport(report, receivedAt);
+    if (grantManager_.hasLeaving()) {
         wake();
     }
     const uint64_t number = ++reports_;
-    if (heldAnswer_) {
-        heldAnswer_->timer->wake(); // Its heartbeat has been given up.
+    if (delayedReply_) {
+        delayedReply_->timer->wake(); // The backend server has given up on the earlier heartbeat.
     }
-    if (!atOnce && !hasHoldNews(report, receivedAt)) {
-        co_await awaitHoldNews(report, receivedAt);
+    if (!atOnce && !hasGrantChanges(report, receivedAt)) {
+        co_await awaitGrantChanges(report, receivedAt);
     }
     if (number != reports_ || hasRangesToAdopt()) {
         co_return std::nullopt;
     }
     const TimePoint now = clock_.now();
-    std::optional<GrantReply> order = keeper_.takeHolds(receivedAt, authority_.validUntil(), now);
-    if (order && order->leftOut > 0 && leftOutLines_.tryTake(now)) {
-        leftOutLines_.log({{"ranges", order->leftOut}, {"granted", order->rows.size()}});
+    std::optional<GrantReply> reply
+            = grantManager_.takeGrantReply(receivedAt, authority_.validUntil(), now);
+    if (reply && reply->omittedRanges > 0 && omittedRangesLog_.tryTake(now)) {
+        omittedRangesLog_.log({{"ranges", reply->omittedRanges}, {"granted", reply->rows.size()}});
     }
-    if (order) {
-        logOffered(report, *order, receivedAt, now);
+    if (reply) {
+        logReplyGrants(report, *reply, receivedAt, now);
     }
-    co_return order;
+    co_return reply;
 }
 
-/** Only ranges that the heartbeat did not list: renewals would be a line for each heartbeat. */
-void RangeController::logOffered(const HeldKeysReport &report, const GrantReply &order,
-                                 TimePoint receivedAt, TimePoint now)
+/**
+ * Logs only ranges that the heartbeat did not list; logging renewals would add a line per
+ * heartbeat.
+ */
+void RangeController::logReplyGrants(const HeldKeysReport &report, const GrantReply &reply,
+                                     TimePoint receivedAt, TimePoint now)
 {
     std::vector<HeldKeys> granted;
-    for (const GrantedKeys &row : order.rows) {
+    for (const GrantedKeys &row : reply.rows) {
         const HeldKeys held{row.span, row.fence};
         if (std::find(report.holds.begin(), report.holds.end(), held) == report.holds.end()) {
             granted.push_back(held);
         }
     }
-    logGranted(granted, order.hold, {report.sequence, now - receivedAt}, now);
+    logGranted(granted, reply.hold, {report.sequence, now - receivedAt}, now);
 }
 
-/** Every range is named, in as many lines as it takes: what is left out could not be traced. */
+/**
+ * Logs every range, in as many lines as needed, since a range left out could not be traced later.
+ */
 void RangeController::logGranted(const std::vector<HeldKeys> &granted, milliseconds hold,
-                                 const AnsweredReport &answered, TimePoint now)
+                                 const AnsweredHeartbeat &answered, TimePoint now)
 {
-    const auto answerHeld = std::chrono::duration_cast<milliseconds>(answered.heldBackFor);
+    const auto answerHeld = std::chrono::duration_cast<milliseconds>(answered.delayedFor);
     const auto authority = std::chrono::duration_cast<milliseconds>(authority_.validUntil() - now);
-    for (size_t first = 0; first < granted.size(); first += SpansInLine) {
-        if (!offeredLines_.tryTake(now)) {
+    for (size_t first = 0; first < granted.size(); first += MaxSpansPerLine) {
+        if (!grantLog_.tryTake(now)) {
             continue;
         }
-        const size_t end = std::min(granted.size(), first + SpansInLine);
+        const size_t end = std::min(granted.size(), first + MaxSpansPerLine);
         std::string spans;
         for (size_t index = first; index < end; ++index) {
-            spans += (spans.empty() ? "" : " ") + heldText(granted[index]);
+            spans += (spans.empty() ? "" : " ") + heldKeysText(granted[index]);
         }
-        offeredLines_.log({{"sequence", answered.sequence},
-                           {"ranges", end - first},
-                           {"spans", spans},
-                           {"hold_ms", hold.count()},
-                           {"answer_held_ms", answerHeld.count()},
-                           {"authority_ms", authority.count()}});
+        grantLog_.log({{"sequence", answered.sequence},
+                       {"ranges", end - first},
+                       {"spans", spans},
+                       {"hold_ms", hold.count()},
+                       {"answer_held_ms", answerHeld.count()},
+                       {"authority_ms", authority.count()}});
     }
 }
 
 /**
- * A node that has restarted, or has lost its lease, has a new life, and the table still names the
- * one before. An answer that grants nothing then would make the backend server release all that it
- * holds, a moment before the node adopts just that.
+ * A node that has restarted or lost its lease has a new incarnation, while the table still names
+ * the previous one. An empty reply at that point would make the backend server release everything
+ * it holds just before the node adopts these ranges.
  */
 bool RangeController::hasRangesToAdopt() const
 {
@@ -118,27 +126,27 @@
                           });
 }
 
-bool RangeController::hasHoldNews(const HeldKeysReport &report, TimePoint now) const
+bool RangeController::hasGrantChanges(const HeldKeysReport &report, TimePoint now) const
 {
-    return authority_.validUntil() > now && !keeper_.isAsReported(report);
+    return authority_.validUntil() > now && !grantManager_.matchesReport(report);
 }
 
-asio::awaitable<void> RangeController::awaitHoldNews(const HeldKeysReport &report,
-                                                     TimePoint receivedAt)
+asio::awaitable<void> RangeController::awaitGrantChanges(const HeldKeysReport &report,
+                                                         TimePoint receivedAt)
 {
     const std::unique_ptr<WakeTimer> timer = timers_.make();
-    const HeldAnswer held{&report, timer.get()};
-    heldAnswer_ = held;
-    co_await timer->wait(receivedAt + AnswerHeldFor - clock_.now());
-    if (heldAnswer_ && heldAnswer_->timer == timer.get()) {
-        heldAnswer_.reset();
+    const DelayedReply held{&report, timer.get()};
+    delayedReply_ = held;
+    co_await timer->wait(receivedAt + MaxReplyDelay - clock_.now());
+    if (delayedReply_ && delayedReply_->timer == timer.get()) {
+        delayedReply_.reset();
     }
 }
 
-void RangeController::releaseHeldAnswer(TimePoint now)
+void RangeController::releaseDelayedReply(TimePoint now)
 {
-    if (heldAnswer_ && hasHoldNews(*heldAnswer_->report, now)) {
-        heldAnswer_->timer->wake();
+    if (delayedReply_ && hasGrantChanges(*delayedReply_->report, now)) {
+        delayedReply_->timer->wake();
     }
 }
 
--- a/src/duty/range_controller_plan.cpp
+++ b/src/duty/range_controller_plan.cpp
@@ -1,5 +1,4 @@
-/** @file range_controller_plan.cpp Changes of the range table: who is to get which range, and the
- * writes.
+/** @file range_controller_plan.cpp Plans changes of the range table and writes them to the store.
  */
 
 #include "adapter/log/event_log.h"
@@ -14,29 +13,36 @@
 
 namespace {
 
-/** From the first backend server that is ready until a service without a table is divided: the
- *  others' first heartbeats come within 1.5 s, and who is not there yet has to be given keys later.
+/**
+ * Delay from the first ready backend server until the keys of a service without a table are
+ * divided. The first heartbeats of the others arrive within 1.5 s; a backend server that is not
+ * ready by then has to be assigned keys later.
  */
-constexpr milliseconds Settle{2000};
+constexpr milliseconds TableCreationDelay{2000};
 /**
- * After a refused write the news of who was first are on their way, and come within 0.3 s; only
- * then the record is read. When all nodes of a fleet of 91 had restarted, 952 of 1,475 writes were
- * refused, and each cost a read besides.
+ * After a rejected write, the update made by another node arrives by watch within 0.3 s, so the
+ * record is read only after this time. When all nodes of a fleet of 91 had restarted, 952 of 1,475
+ * writes were rejected, and each of them cost an additional read.
  */
-constexpr milliseconds AwaitNews{500};
+constexpr milliseconds ConflictReadDelay{500};
 /**
- * The answer to a refused write holds the record as it stands, so it could be written again at
- * once; but all whose writes were refused together would collide again. Ten holders of one block
- * write within 10 ms each.
+ * The answer to a rejected write contains the current record, so the write could be repeated at
+ * once; but all nodes whose writes were rejected together would conflict again. Ten holders of one
+ * block write within 10 ms each.
  */
-constexpr milliseconds CollisionSpread{100};
+constexpr milliseconds ConflictRetrySpread{100};
 
-/** A change of more holders than this is a new division, which all nodes hear of anyway. */
-constexpr size_t MostTold = 8;
-/** Later the news have come by the watch. */
-constexpr milliseconds TellTimeout{1000};
+/**
+ * A change that affects more holders than this is a new division, which all nodes learn of anyway.
+ */
+constexpr size_t MaxNotifiedHolders = 8;
+/** After this time the update has arrived by watch. */
+constexpr milliseconds NotifyTimeout{1000};
 
-/** @return Nodes that @p after gives keys which @p before had otherwise, apart from @p self. */
+/**
+ * @return Nodes other than @p self to which @p after assigns keys that @p before assigned
+ *         differently.
+ */
 std::set<NodeId> findReceivers(const RangeTable &before, const RangeTable &after, NodeId self)
 {
     std::set<NodeId> receivers;
@@ -44,7 +50,7 @@
         const RangeEntry *earlier = before.find(entry.first);
         const bool isNew = earlier == nullptr || earlier->fence != entry.fence
                            || earlier->holder != entry.holder;
-        if (isNew && !entry.holder.isNobody() && entry.holder.node != self) {
+        if (isNew && !entry.holder.isUnassigned() && entry.holder.node != self) {
             receivers.insert(entry.holder.node);
         }
     }
@@ -66,19 +72,19 @@
             return move.holder;
         }
     }
-    const auto idlest = std::min_element(
+    const auto leastLoaded = std::min_element(
             others.begin(), others.end(),
             [](const RangeCandidate &left, const RangeCandidate &right) {
                 return left.busySlots / left.slots < right.busySlots / right.slots;
             });
-    return idlest == others.end() ? RangeHolder{} : idlest->holder;
+    return leastLoaded == others.end() ? RangeHolder{} : leastLoaded->holder;
 }
 
-/** Times are relative to now, in milliseconds; what has never been is left out as -1. */
-void RangeController::logGivenOn(const ReleasedRange &released, const RangeHolder &target,
-                                 const RangeTable &table, TimePoint now)
+/** Times are in milliseconds relative to @p now; -1 stands for a time that is not set. */
+void RangeController::logHandOver(const ReleasedRange &released, const RangeHolder &target,
+                                  const RangeTable &table, TimePoint now)
 {
-    if (!givenOnLines_.tryTake(now)) {
+    if (!handOverLog_.tryTake(now)) {
         return;
     }
     const auto ago = [now](TimePoint time) -> int64_t {
@@ -91,58 +97,58 @@
     };
     const ReleaseProof &proof = released.proof;
     const RangeEntry *entry = table.find(released.span.first);
-    givenOnLines_.log({{"first", released.span.first.value()},
-                       {"last", released.span.last.value()},
-                       {"fence", released.fence.value()},
-                       {"table_fence", entry == nullptr ? 0 : entry->fence.value()},
-                       {"to", holderText(target)},
-                       {"proof", releaseGroundName(proof.ground)},
-                       {"confirmed_ms_ago", ago(proof.confirmedAt)},
-                       {"shown_in", proof.shownIn},
-                       {"told_in", proof.toldIn},
-                       {"left_out_of", proof.leftOutOf},
-                       {"granted_ms_ago", ago(proof.grantedAt)},
-                       {"grant_runs_ms", left(proof.lapsesAt)},
-                       {"unanswered_ms", left(proof.unansweredUntil)},
-                       {"backend_state", static_cast<int64_t>(monitor_.state())}});
+    handOverLog_.log({{"first", released.span.first.value()},
+                      {"last", released.span.last.value()},
+                      {"fence", released.fence.value()},
+                      {"table_fence", entry == nullptr ? 0 : entry->fence.value()},
+                      {"to", holderText(target)},
+                      {"proof", releaseEvidenceName(proof.evidence)},
+                      {"confirmed_ms_ago", ago(proof.confirmedAt)},
+                      {"shown_in", proof.listedIn},
+                      {"told_in", proof.reportedIn},
+                      {"left_out_of", proof.omittedFrom},
+                      {"granted_ms_ago", ago(proof.grantedAt)},
+                      {"grant_runs_ms", left(proof.expiresAt)},
+                      {"unanswered_ms", left(proof.unansweredUntil)},
+                      {"backend_state", static_cast<int64_t>(monitor_.state())}});
 }
 
-RangeTable RangeController::handReleasedOver(RangeTable table, TimePoint now)
+RangeTable RangeController::handOverReleased(RangeTable table, TimePoint now)
 {
-    for (const ReleasedRange &released : keeper_.releasedRanges(now)) {
+    for (const ReleasedRange &released : grantManager_.releasedRanges(now)) {
         const RangeHolder target = targetOf(released.span, now);
-        if (!target.isNobody()) {
-            logGivenOn(released, target, table, now);
-            table = giveRange(std::move(table), released.span, target, released.handover);
+        if (!target.isUnassigned()) {
+            logHandOver(released, target, table, now);
+            table = assignRange(std::move(table), released.span, target, released.handover);
         }
     }
     return table;
 }
 
-bool RangeController::isFreeForAll(const RangeHolder &holder) const
+bool RangeController::isFree(const RangeHolder &holder) const
 {
-    if (holder.isNobody()) {
+    if (holder.isUnassigned()) {
         return true;
     }
     const auto revoked = revoked_.find(holder.node);
     return revoked != revoked_.end() && revoked->second.count(holder.life) > 0;
 }
 
-RangeTable RangeController::giveFreeRanges(RangeTable table, TimePoint now)
+RangeTable RangeController::assignFreeRanges(RangeTable table, TimePoint now)
 {
     std::vector<KeySpan> spans;
     for (size_t index = 0; index < table.entries.size(); ++index) {
-        if (isFreeForAll(table.entries[index].holder)) {
+        if (isFree(table.entries[index].holder)) {
             spans.push_back(table.spanOf(index));
         }
     }
     if (spans.empty()) {
         return table;
     }
-    const std::vector<RangeCandidate> takers
-            = drawCandidates(candidates(now, true), GiveAwaySample, random_);
-    for (const RangeMove &move : planGiveAway(spans, {}, takers)) {
-        table = giveRange(std::move(table), move.span, move.holder, {});
+    const std::vector<RangeCandidate> receivers
+            = drawCandidates(candidates(now, true), DistributionSample, random_);
+    for (const RangeMove &move : planDistribution(spans, {}, receivers)) {
+        table = assignRange(std::move(table), move.span, move.holder, {});
     }
     return table;
 }
@@ -153,9 +159,9 @@
     if (after == before) {
         return;
     }
-    // Grants that still run while keys go elsewhere without a release are the first thing to look
-    // at when two backend servers have held the same keys.
-    const auto left = std::chrono::duration_cast<milliseconds>(keeper_.lastLapse() - now);
+    // If two backend servers are found to have held the same keys, the first thing to check is
+    // whether grants were still valid while keys moved without a release.
+    const auto left = std::chrono::duration_cast<milliseconds>(grantManager_.lastExpiry() - now);
     logEvent(LogEvent::RangesChanging,
              {{"cause", std::string(cause)},
               {"own_keys_before", countKeys(before, self_.node)},
@@ -164,8 +170,11 @@
               {"own_grants_run_ms", std::max(left, milliseconds(0)).count()}});
 }
 
-/** Looked at on each turn, when there mostly is nothing; a plan copies the table several times. */
-bool RangeController::hasTableWork(const StoredTable &stored, TimePoint now) const
+/**
+ * Runs on each tick, usually without any work to do, whereas making a plan copies the table
+ * several times.
+ */
+bool RangeController::needsTableChange(const StoredTable &stored, TimePoint now) const
 {
     const std::vector<RangeEntry> &entries = stored.table.entries;
     const std::optional<RangeHolder> self = holder();
@@ -173,19 +182,19 @@
         return entry.holder.node == self_.node && entry.holder != *self;
     };
     if (self
-        && (!keeper_.refusedSpans().empty() || !keeper_.releasedRanges(now).empty()
+        && (!grantManager_.refusedSpans().empty() || !grantManager_.releasedRanges(now).empty()
             || std::any_of(entries.begin(), entries.end(), isToAdopt))) {
         return true;
     }
-    const MemberRecord *first = firstOfService(now);
+    const MemberRecord *first = findCoordinator(now);
     return first != nullptr && first->node == self_.node
            && std::any_of(entries.begin(), entries.end(),
-                          [this](const RangeEntry &entry) { return isFreeForAll(entry.holder); });
+                          [this](const RangeEntry &entry) { return isFree(entry.holder); });
 }
 
 std::optional<RangeTable> RangeController::planTable(const StoredTable &stored, TimePoint now)
 {
-    if (!hasTableWork(stored, now)) {
+    if (!needsTableChange(stored, now)) {
         return std::nullopt;
     }
     RangeTable next = stored.table;
@@ -195,14 +204,14 @@
     };
     if (const std::optional<RangeHolder> self = holder()) {
         change("adopted", adoptRanges(next, *self));
-        for (const KeySpan &refused : keeper_.refusedSpans()) {
-            change("fence refused", giveRange(next, refused, *self, {}));
+        for (const KeySpan &refused : grantManager_.refusedSpans()) {
+            change("fence refused", assignRange(next, refused, *self, {}));
         }
-        change("released", handReleasedOver(next, now));
+        change("released", handOverReleased(next, now));
     }
-    const MemberRecord *first = firstOfService(now);
+    const MemberRecord *first = findCoordinator(now);
     if (first != nullptr && first->node == self_.node) {
-        change("holder lost", giveFreeRanges(next, now));
+        change("holder lost", assignFreeRanges(next, now));
     }
     if (next == stored.table) {
         return std::nullopt;
@@ -212,20 +221,21 @@
 
 asio::awaitable<void> RangeController::planOnce()
 {
-    if (!unread_.empty()) {
+    if (!unconfirmedRecords_.empty()) {
         co_await refreshTable();
     }
     const TimePoint now = clock_.now();
     const StoredTable *stored = view_.findTable(self_.service);
-    if (stored == nullptr && unread_.empty()) {
+    if (stored == nullptr && unconfirmedRecords_.empty()) {
         co_await createTable();
     } else if (stored == nullptr) {
         writing_ = false;
         co_return;
     } else {
-        // What was read since the last look may name others for keys that the keeper still counts
-        // as its own to give; given on again, they would be held by the two who were named.
-        keeper_.onTable(stored->table, holder(), now);
+        // The table read since the last tick may assign keys to other holders that grantManager_
+        // still counts as its own to hand over. If they were handed over again, both new holders
+        // would hold them.
+        grantManager_.onTable(stored->table, holder(), now);
         if (std::optional<RangeTable> next = planTable(*stored, now)) {
             co_await writeTable(std::move(*next), *stored);
         }
@@ -236,11 +246,11 @@
 asio::awaitable<void> RangeController::createTable()
 {
     const TimePoint now = clock_.now();
-    const MemberRecord *first = firstOfService(now);
+    const MemberRecord *first = findCoordinator(now);
     if (first != nullptr && firstReadyAt_ == NeverTime) {
         firstReadyAt_ = now;
     }
-    if (first == nullptr || first->node != self_.node || now - firstReadyAt_ < Settle) {
+    if (first == nullptr || first->node != self_.node || now - firstReadyAt_ < TableCreationDelay) {
         co_return;
     }
     std::vector<HolderShare> shares;
@@ -258,17 +268,17 @@
     const BlockLayout layout = stored.layout;
     const std::optional<RangeHolder> planned = holder();
     for (uint32_t block = 0; block < layout.count; ++block) {
-        // Another life may begin between two writes, of the backend server or of the lease. It is
-        // granted what the table still says is its own; the rest of the plan knows of the one
-        // before.
+        // A new incarnation of the backend server or of the lease may start between two writes. It
+        // is granted what the table still assigns to this node, but the rest of the plan was made
+        // for the previous incarnation.
         if (holder() != planned) {
             co_return;
         }
         const KeySpan span = layout.spanOf(block);
         RangeRecord record;
         record.layout = layout;
-        record.table = cutBlock(next, span);
-        if (record.table.entries == cutBlock(stored.table, span).entries) {
+        record.table = extractBlock(next, span);
+        if (record.table.entries == extractBlock(stored.table, span).entries) {
             continue;
         }
         std::string name = self_.service;
@@ -277,11 +287,11 @@
             record.block = block;
             name = blockRecordName(self_.service, block);
         }
-        if (unread_.count(name) > 0) {
+        if (unconfirmedRecords_.count(name) > 0) {
             continue;
         }
-        // Each block's change is safe by itself. Where the store does not answer, the next blocks
-        // wait for the next look: every call in vain takes a whole timeout.
+        // The change of each block is safe by itself. If the store does not answer, the remaining
+        // blocks wait for the next tick, since every failing call takes a full timeout.
         if (!co_await writeRecord(std::move(name), std::move(record), stored.revisionOf(block))) {
             co_return;
         }
@@ -294,13 +304,14 @@
     const std::string content = encodeRangeRecord(record);
     Result<StoreRevision> written = co_await store_.write(RecordKind::Ranges, name, over, content);
     if (!written) {
-        // It may have been written all the same, or somebody else was first: read before planning.
+        // The write may have succeeded all the same, or another node was first. The record is read
+        // before planning again.
         const FailureCode code = written.assume_error().code;
         const bool conflict = code == FailureCode::VersionConflict;
         const TimePoint now = clock_.now();
-        auto spread = std::uniform_int_distribution<int64_t>(0, CollisionSpread.count());
-        unread_[name] = {over, now + (conflict ? AwaitNews : milliseconds(0)),
-                         now + milliseconds(conflict ? spread(random_) : 0)};
+        auto spread = std::uniform_int_distribution<int64_t>(0, ConflictRetrySpread.count());
+        unconfirmedRecords_[name] = {over, now + (conflict ? ConflictReadDelay : milliseconds(0)),
+                                     now + milliseconds(conflict ? spread(random_) : 0)};
         logEvent(LogEvent::RangesNotWritten, {{"record", name},
                                               {"over", over.value()},
                                               {"cause", std::string(failureName(code))}});
@@ -311,8 +322,8 @@
                                        {"ranges", record.table.entries.size()},
                                        {"fence", record.table.highestFence.value()}});
     if (const StoredTable *known = view_.findTable(self_.service)) {
-        tellHolders(findReceivers(known->table, record.table, self_.node),
-                    {name, written.assume_value(), content});
+        notifyHolders(findReceivers(known->table, record.table, self_.node),
+                      {name, written.assume_value(), content});
     }
     view_.onRanges(name, std::move(record), written.assume_value());
     wake();
@@ -320,36 +331,37 @@
 }
 
 /**
- * Nobody serves a range between its change of hands and the moment at which its new holder hears of
- * it. In a large fleet the watches gather changes for a good part of a second.
+ * Notifies the new holders directly. A range is not served from its change of holder until the new
+ * holder learns of it, and in a large fleet the watches batch changes for a considerable part of a
+ * second.
  */
-void RangeController::tellHolders(const std::set<NodeId> &holders, const StoredRecord &written)
+void RangeController::notifyHolders(const std::set<NodeId> &holders, const StoredRecord &written)
 {
-    if (holders.size() > MostTold) {
+    if (holders.size() > MaxNotifiedHolders) {
         return;
     }
-    v1::StoreRecord news;
-    news.set_name(written.name);
-    news.set_revision(written.revision.value());
-    news.set_content(written.content);
+    v1::StoreRecord update;
+    update.set_name(written.name);
+    update.set_revision(written.revision.value());
+    update.set_content(written.content);
     for (const NodeId holder : holders) {
         const MemberRecord *member = view_.findMember(holder);
         if (member == nullptr) {
             continue;
         }
         const auto tell = [this, copy = *member,
-                           body = news.SerializeAsString()]() -> asio::awaitable<void> {
-            (void)co_await peers_.call(copy, RangeNewsPath, body, TellTimeout);
+                           body = update.SerializeAsString()]() -> asio::awaitable<void> {
+            (void)co_await peers_.call(copy, RangeUpdatePath, body, NotifyTimeout);
         };
         asio::co_spawn(context_, tell, asio::detached);
     }
 }
 
-asio::awaitable<std::string> RangeController::onTold(std::string body)
+asio::awaitable<std::string> RangeController::onRangeUpdate(std::string body)
 {
-    v1::StoreRecord news;
-    if (news.ParseFromString(body) && news.revision() != 0) {
-        view_.onRangeRecord({news.name(), StoreRevision(news.revision()), news.content()});
+    v1::StoreRecord update;
+    if (update.ParseFromString(body) && update.revision() != 0) {
+        view_.onRangeRecord({update.name(), StoreRevision(update.revision()), update.content()});
     }
     co_return std::string();
 }
@@ -370,11 +382,11 @@
 
 asio::awaitable<void> RangeController::refreshTable()
 {
-    std::erase_if(unread_, [this, now = clock_.now()](const auto &entry) {
+    std::erase_if(unconfirmedRecords_, [this, now = clock_.now()](const auto &entry) {
         return now >= entry.second.writeAt && knownRevision(entry.first) > entry.second.over;
     });
-    const std::map<std::string, Unread> unread = unread_;
-    for (const auto &[name, entry] : unread) {
+    const std::map<std::string, UnconfirmedRecord> unconfirmed = unconfirmedRecords_;
+    for (const auto &[name, entry] : unconfirmed) {
         if (clock_.now() < entry.readAt) {
             continue;
         }
@@ -382,7 +394,7 @@
         if (!stored && stored.assume_error().code != FailureCode::NotFound) {
             co_return;
         }
-        unread_.erase(name);
+        unconfirmedRecords_.erase(name);
         if (stored) {
             view_.onRangeRecord(stored.assume_value());
         }
--- a/src/duty/range_controller_takeover.cpp
+++ b/src/duty/range_controller_takeover.cpp
@@ -1,6 +1,5 @@
-/** @file range_controller_takeover.cpp Lost holders: who is asked, fenced and revoked before keys
- * move.
- */
+/** @file range_controller_takeover.cpp Detects lost holders, fences them at their witnesses and
+ * revokes their leases. */
 
 #include "duty/range_controller.h"
 
@@ -13,21 +12,24 @@
 
 namespace {
 
-/** A node of the service that has not been heard of for so long is asked whether it is there. */
+/** A node of the service that has not been heard from for this long is probed. */
 constexpr milliseconds ProbeAfter{2000};
-/** Six a second for each node, however large the service is: enough to know some that take keys. */
-constexpr size_t ProbesAtOnce = 3;
+/**
+ * Six probes per second from each node, however large the service is. This is enough to know some
+ * nodes that can take keys.
+ */
+constexpr size_t MaxConcurrentProbes = 3;
 
 } // namespace
 
-void RangeController::watchOthers()
+void RangeController::checkHolders()
 {
-    const MemberRecord *first = firstOfService(clock_.now());
+    const MemberRecord *first = findCoordinator(clock_.now());
     const StoredTable *stored = view_.findTable(self_.service);
     std::set<NodeId> holders;
     if (first != nullptr && first->node == self_.node && stored != nullptr) {
         for (const RangeEntry &entry : stored->table.entries) {
-            if (!entry.holder.isNobody() && entry.holder.node != self_.node) {
+            if (!entry.holder.isUnassigned() && entry.holder.node != self_.node) {
                 holders.insert(entry.holder.node);
             }
         }
@@ -35,8 +37,8 @@
     const auto isDone = [&holders](const auto &entry) { return holders.count(entry.first) == 0; };
     std::erase_if(observers_, isDone);
     std::erase_if(takeovers_, isDone);
-    // All at once: where half of a service is lost, each lost holder takes a connection's timeout,
-    // and the last of twenty would be looked at after six seconds.
+    // All holders are checked concurrently. If half of the nodes of a service are lost, each check
+    // takes a connection timeout, and the last of twenty would be checked only after six seconds.
     checking_ = holders.size();
     for (const NodeId node : holders) {
         const auto check = [this, node]() -> asio::awaitable<void> {
@@ -47,7 +49,7 @@
     }
 }
 
-void RangeController::probeQuiet(TimePoint now)
+void RangeController::probeSilentNodes(TimePoint now)
 {
     std::vector<MemberRecord> quiet;
     for (const MemberRecord *member : view_.readyMembers(self_.service)) {
@@ -56,7 +58,7 @@
         }
     }
     std::shuffle(quiet.begin(), quiet.end(), random_);
-    quiet.resize(std::min(quiet.size(), ProbesAtOnce));
+    quiet.resize(std::min(quiet.size(), MaxConcurrentProbes));
     for (const MemberRecord &member : quiet) {
         const auto ask
                 = [this, member]() -> asio::awaitable<void> { (void)co_await probe_(member); };
@@ -68,7 +70,7 @@
 {
     const MemberRecord *member = view_.findMember(node);
     if (member != nullptr) {
-        if (clock_.now() - loads_.heardAt(node) < WatchEvery) {
+        if (clock_.now() - loads_.heardAt(node) < HolderCheckInterval) {
             co_return;
         }
         const MemberRecord copy = *member;
@@ -90,7 +92,7 @@
     observer.onRead(revision.value(), clock_.now());
     if (absent) {
         co_await revoke(node, revision, "no lease");
-    } else if (observer.isOver(clock_.now())) {
+    } else if (observer.hasExpired(clock_.now())) {
         co_await revoke(node, revision, "lease run out");
     } else {
         Result<LeaseRecord> lease = decodeLease(stored.assume_value().content);
@@ -108,8 +110,8 @@
     if (!same) {
         takeovers_.insert_or_assign(node, Takeover(WitnessTimes{}, lease.life, lease.witnesses));
     }
-    // Every witness is asked each time: what counts at the end is that all fences stand, after the
-    // lease was read whose revision the revocation is bound to.
+    // Every witness is asked each time: at the end, all fences must be in place after the lease
+    // was read whose revision the revocation is conditional on.
     for (const NodeId witness : lease.witnesses) {
         const FenceReply answer = co_await witnessContact_.fence(witness, node, lease.life);
         const auto takeover = takeovers_.find(node);
--- a/test/support/ownership_backend.h
+++ b/test/support/ownership_backend.h
@@ -1,4 +1,5 @@
-/** @file ownership_backend.h A modelled backend server that counts its holds by its own clock. */
+/** @file ownership_backend.h A simulated backend server that measures hold times on its own
+ * clock. */
 
 #pragma once
 
@@ -15,31 +16,31 @@
 }
 
 /**
- * The backend server beside a node, over all its lives. It alone knows what it holds: a grant by
- * call counts from its arrival, one by heartbeat from the sending of the heartbeat.
+ * The backend server of a node, over all its incarnations. It alone knows which keys it holds: a
+ * grant by call counts from its arrival, a grant by heartbeat from the sending of the heartbeat.
  */
-class ModelBackend
+class SimulatedBackend
 {
 public:
-    /** An answer to a heartbeat counts for so long from the heartbeat's sending. */
+    /** Maximum time between the sending of a heartbeat and the use of its reply. */
     static constexpr milliseconds AnswerBound{1000};
 
-    /** Keys that it has always held, released and worked on together. */
+    /** Keys that have been held, released and worked on together so far. */
     struct Part {
         KeySpan span;
-        Epoch fence; ///< The highest it has seen.
+        Epoch fence; ///< Highest fence seen.
         TimePoint until = NeverTime;
         TimePoint workUntil = NeverTime;
-        bool ending = true;         ///< No new work; not held, but for what still works on it.
-        bool isReleaseNews = false; ///< No acknowledged heartbeat has told of the release.
-        uint64_t toldIn = 0;        ///< First heartbeat that told of the release; 0: none yet.
+        bool ending = true; ///< No new requests; not held, apart from running requests.
+        bool isReleaseUnreported = false; ///< No acknowledged heartbeat has reported the release.
+        uint64_t reportedIn = 0; ///< First heartbeat that reported the release; 0: none yet.
 
         bool isHeld(TimePoint now) const { return !ending && now < until; }
 
-        /** Work that outlasts its hold is broken off. */
+        /** A request that runs longer than the hold time is aborted. */
         bool isWorkedOn(TimePoint now) const { return now < workUntil && now < until; }
 
-        /** @return Whether it counts as held, or is worked on within a hold that it had. */
+        /** @return Whether the keys are held, or a request runs within the last hold time. */
         bool isOccupied(TimePoint now) const { return isHeld(now) || isWorkedOn(now); }
     };
 
@@ -49,23 +50,25 @@
         alive_ = true;
     }
 
-    /** It knows nothing of before when it starts again. */
+    /** Loses all state; it starts again empty. */
     void crash()
     {
         alive_ = false;
         parts_ = {Part{}};
         sequence_ = 0;
-        taken_ = 0;
+        lastReadHeartbeat_ = 0;
     }
 
-    /** @param share How much longer than asked for its slow clock makes it hold. */
+    /** @param share By how much the slow clock extends the requested hold time. */
     void runSlow(double share) { slowness_ = share; }
 
     const BackendIncarnation &life() const { return life_; }
     bool isAlive() const { return alive_; }
     const std::vector<Part> &parts() const { return parts_; }
 
-    /** @return Whether it takes the grant that has arrived at @p arrivedAt; carried out @p now. */
+    /**
+     * @return Whether it accepts the grant that arrived at @p arrivedAt and is applied at @p now.
+     */
     bool grant(const KeySpan &span, Epoch fence, milliseconds hold, TimePoint arrivedAt,
                TimePoint now)
     {
@@ -81,7 +84,7 @@
         return true;
     }
 
-    /** Ends new work on @p span. @return When the running work will have ended. */
+    /** Rejects new requests for @p span. @return When the running requests will have ended. */
     TimePoint release(const KeySpan &span, Epoch fence, TimePoint now)
     {
         cut(span);
@@ -100,7 +103,7 @@
         return ended;
     }
 
-    /** @return What a heartbeat that is sent now shows; it gets the next number. */
+    /** @return The report of a heartbeat sent now; it gets the next sequence number. */
     HeldKeysReport report(TimePoint now)
     {
         HeldKeysReport report;
@@ -109,8 +112,8 @@
             if (part.isOccupied(now)) {
                 report.holds.push_back({part.span, part.fence});
             }
-            if (part.isReleaseNews) {
-                part.toldIn = part.toldIn == 0 ? sequence_ : part.toldIn;
+            if (part.isReleaseUnreported) {
+                part.reportedIn = part.reportedIn == 0 ? sequence_ : part.reportedIn;
                 report.released.push_back({part.span, "token"});
             }
         }
@@ -119,25 +122,25 @@
 
     uint64_t sequence() const { return sequence_; }
 
-    /** Reads the answer to heartbeat @p number, which may be one that was read before. */
-    void takeAnswer(uint64_t number, const std::optional<GrantReply> &order, TimePoint sentAt,
+    /** Reads the reply to heartbeat @p number, which may have been read before. */
+    void takeAnswer(uint64_t number, const std::optional<GrantReply> &reply, TimePoint sentAt,
                     TimePoint now)
     {
-        if (number < taken_ || now - sentAt > stretched(AnswerBound)) {
+        if (number < lastReadHeartbeat_ || now - sentAt > stretched(AnswerBound)) {
             return;
         }
-        taken_ = number;
+        lastReadHeartbeat_ = number;
         for (Part &part : parts_) {
-            if (part.isReleaseNews && part.toldIn != 0 && part.toldIn <= number) {
-                part.isReleaseNews = false;
+            if (part.isReleaseUnreported && part.reportedIn != 0 && part.reportedIn <= number) {
+                part.isReleaseUnreported = false;
             }
         }
-        if (order) {
-            takeHolds(*order, sentAt, now);
+        if (reply) {
+            takeGrantReply(*reply, sentAt, now);
         }
     }
 
-    /** A request for @p key arrives. @return Whether work on it begins. */
+    /** A request for @p key arrives. @return Whether it is accepted. */
     bool work(ShardKey key, milliseconds duration, TimePoint now)
     {
         const auto part = std::find_if(parts_.begin(), parts_.end(), [key](const Part &candidate) {
@@ -150,21 +153,21 @@
         return true;
     }
 
-    /** @return Whether a request is at work on any key. */
+    /** @return Whether a request is running for any key. */
     bool isWorking(TimePoint now) const
     {
         return std::any_of(parts_.begin(), parts_.end(),
                            [now](const Part &part) { return part.isWorkedOn(now); });
     }
 
-    /** @return Whether it may still release something that it works on. */
+    /** @return Whether requests are running for keys that are being released. */
     bool isReleasing(TimePoint now) const
     {
         return std::any_of(parts_.begin(), parts_.end(),
                            [now](const Part &part) { return part.ending && part.isWorkedOn(now); });
     }
 
-    /** @return Whether it takes requests for @p key. */
+    /** @return Whether it accepts requests for @p key. */
     bool holds(ShardKey key, TimePoint now) const
     {
         return std::any_of(parts_.begin(), parts_.end(), [&](const Part &part) {
@@ -178,7 +181,7 @@
         return std::chrono::duration_cast<Duration>(time * (1 + slowness_));
     }
 
-    /** Makes parts begin and end where @p span does. */
+    /** Splits parts so that they begin and end where @p span does. */
     void cut(const KeySpan &span)
     {
         cutAt(span.first.value());
@@ -212,11 +215,11 @@
         part.ending = false;
     }
 
-    void takeHolds(const GrantReply &order, TimePoint sentAt, TimePoint now)
+    void takeGrantReply(const GrantReply &reply, TimePoint sentAt, TimePoint now)
     {
         std::vector<KeySpan> named;
-        for (const GrantedKeys &row : order.rows) {
-            if (grant(row.span, row.fence, order.hold, sentAt, now)) {
+        for (const GrantedKeys &row : reply.rows) {
+            if (grant(row.span, row.fence, reply.hold, sentAt, now)) {
                 named.push_back(row.span);
             }
         }
@@ -226,8 +229,8 @@
                                   [&part](const KeySpan &span) { return span.covers(part.span); });
             if (part.isHeld(now) && !isNamed) {
                 part.ending = true;
-                part.isReleaseNews = true;
-                part.toldIn = 0;
+                part.isReleaseUnreported = true;
+                part.reportedIn = 0;
             }
         }
     }
@@ -235,9 +238,9 @@
     BackendIncarnation life_;
     bool alive_ = false;
     double slowness_ = 0;
-    uint64_t sequence_ = 0;              ///< Of the latest heartbeat.
-    uint64_t taken_ = 0;                 ///< Heartbeat whose answer was read last.
-    std::vector<Part> parts_ = {Part{}}; ///< Sorted by span; they cover all keys.
+    uint64_t sequence_ = 0;              ///< Sequence number of the latest heartbeat.
+    uint64_t lastReadHeartbeat_ = 0;     ///< Heartbeat whose reply was read last.
+    std::vector<Part> parts_ = {Part{}}; ///< Sorted by span; covers all keys.
 };
 
 } // namespace wisteriahoist::testing
--- a/test/support/ownership_fleet.h
+++ b/test/support/ownership_fleet.h
@@ -1,4 +1,5 @@
-/** @file ownership_fleet.h Several nodes' ownership duties on one loop, over a store in memory. */
+/** @file ownership_fleet.h Several nodes with their RangeController in one event loop, with a store
+ * in memory. */
 
 #pragma once
 
@@ -15,13 +16,16 @@
 
 namespace wisteriahoist::testing {
 
-/** A backend server that enforces grants: keys by fence, until released or run out. */
+/**
+ * A backend server that enforces grants: it rejects lower fences, and holds keys until they are
+ * released or expire.
+ */
 class FakeGrantingBackend final : public BackendControl
 {
 public:
     explicit FakeGrantingBackend(const Clock &clock) : clock_(clock) { }
 
-    asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds) override
+    asio::awaitable<ControlReply> grant(GrantRequest request, milliseconds) override
     {
         ControlReply answer;
         if (!alive_ || open_ >= connections_) {
@@ -30,11 +34,11 @@
             co_return answer;
         }
         ++grants_;
-        if (order.fence < highestFence_) {
+        if (request.fence < highestFence_) {
             answer.result = ControlResult::StaleFence;
             co_return answer;
         }
-        setHeld(order.span, clock_.now() + order.hold);
+        setHeld(request.span, clock_.now() + request.hold);
         if (orderTime_.count() > 0) {
             ++open_;
             co_await sleepFor(orderTime_);
@@ -44,13 +48,13 @@
         co_return answer;
     }
 
-    asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds) override
+    asio::awaitable<ControlReply> release(ReleaseRequest request, milliseconds) override
     {
         ControlReply answer;
         answer.result = alive_ ? ControlResult::Accepted : ControlResult::NotSent;
         answer.handover = "token";
         if (alive_) {
-            setHeld(order.span, NeverTime);
+            setHeld(request.span, NeverTime);
         }
         co_return answer;
     }
@@ -70,14 +74,17 @@
     }
     void revive() { alive_ = true; }
 
-    /** From now on it takes so many connections at once, and each grant needs one for @p time. */
+    /**
+     * From now on it accepts at most @p connections at once, and each grant occupies one for @p
+     * time.
+     */
     void limitConnections(size_t connections, milliseconds time)
     {
         connections_ = connections;
         orderTime_ = time;
     }
 
-    /** @return Whether it counts @p key as held by itself. */
+    /** @return Whether it considers @p key as held. */
     bool holds(ShardKey key) const { return clock_.now() < heldUntil_[key.value()]; }
 
     void seeFence(Epoch fence) { highestFence_ = fence; }
@@ -89,7 +96,7 @@
         std::fill_n(heldUntil_.begin() + span.first.value(), span.size(), until);
     }
 
-    static constexpr milliseconds RefusalTime{1}; ///< Until a connection is known to be refused.
+    static constexpr milliseconds RefusalTime{1}; ///< Until a refused connection is detected.
 
     const Clock &clock_;
     bool alive_ = true;
@@ -98,7 +105,7 @@
     size_t open_ = 0;
     size_t connections_ = SIZE_MAX;
     milliseconds orderTime_{0};
-    /// Of each key, on its own count.
+    /// Expiry of each key on the clock of the backend server.
     std::vector<TimePoint> heldUntil_ = std::vector<TimePoint>(LastShardKey.value() + 1, NeverTime);
 };
 
@@ -107,8 +114,8 @@
     OwnershipNode(asio::io_context &context, const Clock &clock, RecordStore &store, uint64_t id,
                   const std::string &backendId)
         : backend(clock), peers(context, "127.0.0.1", 0), record(makeRecord(id)), timers(context),
-          duty({context, clock, timers, random, store, backend, peers}, view, monitor, loads,
-               record, GrantTimes{})
+          controller({context, clock, timers, random, store, backend, peers}, view, monitor, loads,
+                     record, GrantTimes{})
     {
         BackendReport report;
         report.backend = backendId;
@@ -122,10 +129,10 @@
         peers.serve("/probe", [this](std::string) -> asio::awaitable<std::string> {
             v1::HopReply reply;
             reply.mutable_load()->set_slots(12);
-            reply.mutable_load()->set_leaving(duty.isLeaving());
+            reply.mutable_load()->set_leaving(controller.isLeaving());
             co_return reply.SerializeAsString();
         });
-        duty.setPeerProbe(
+        controller.setPeerProbe(
                 [this, &clock](const MemberRecord &member) { return probe(clock, member); });
         RouteConfig config;
         config.version = 1;
@@ -155,7 +162,7 @@
         co_return answered;
     }
 
-    /** From now on keys are granted in the answers to heartbeats. */
+    /** From now on keys are granted in the replies to heartbeats. */
     void grantByHeartbeat()
     {
         RouteConfig config;
@@ -167,7 +174,7 @@
     MemberRecord published() const
     {
         MemberRecord member = record;
-        member.life = duty.session();
+        member.life = controller.session();
         member.state = monitor.state();
         return member;
     }
@@ -180,10 +187,10 @@
     MemberRecord record;
     AsioWakeTimerFactory timers;
     MtRandomSource random;
-    RangeController duty;
+    RangeController controller;
 };
 
-/** The fleet; the store's records reach each view at once, as long as it is connected. */
+/** The fleet; each view gets the records of the store at once, unless updates are held back. */
 class OwnershipFleet
 {
 public:
@@ -191,35 +198,35 @@
     {
         nodes_.push_back(std::make_unique<OwnershipNode>(context_, clock_, store_, id, backendId));
         nodes_.back()->peers.start();
-        nodes_.back()->duty.start();
+        nodes_.back()->controller.start();
         return *nodes_.back();
     }
 
-    /** Runs until @p holds, at most for @p bound. */
+    /** Runs until @p holds returns true, for at most @p bound. @return Whether it did. */
     bool reaches(const std::function<bool()> &holds, std::chrono::seconds bound)
     {
         const TimePoint end = clock_.now() + bound;
         while (!holds() && clock_.now() < end) {
             context_.restart();
             context_.run_for(std::chrono::milliseconds(5));
-            share();
+            deliverUpdates();
         }
         return holds();
     }
 
-    /** @return Nodes that would hand a request for @p key to their backend server now. */
+    /** @return Nodes that would forward a request for @p key to their backend server now. */
     std::vector<uint64_t> admitting(ShardKey key) const
     {
         std::vector<uint64_t> found;
         for (const auto &node : nodes_) {
-            if (node->duty.check(key, clock_.now()) == RequestEnd::None) {
+            if (node->controller.check(key, clock_.now()) == RequestEnd::None) {
                 found.push_back(node->record.node.value());
             }
         }
         return found;
     }
 
-    /** @return Nodes whose backend servers count @p key as held by themselves now. */
+    /** @return Nodes whose backend servers consider @p key as held now. */
     std::vector<uint64_t> holding(ShardKey key) const
     {
         std::vector<uint64_t> found;
@@ -231,15 +238,15 @@
         return found;
     }
 
-    /** The node falls silent: nothing of it runs or is heard any more. */
+    /** Makes the node fall silent: it stops running and sends nothing. */
     void silence(OwnershipNode &node)
     {
         silenced_.insert(node.record.node);
-        node.duty.halt();
+        node.controller.halt();
         node.peers.stop();
     }
 
-    /** A heartbeat of @p backend arrives at @p node. @return What its answer grants. */
+    /** A heartbeat of @p backend arrives at @p node. @return The grants of its reply. */
     std::optional<GrantReply> heartbeat(OwnershipNode &node, const BackendIncarnation &backend,
                                         uint64_t sequence, const HeldKeysReport &holding)
     {
@@ -249,22 +256,22 @@
         report.slots = 12;
         report.sequence = sequence;
         (void)node.monitor.onReport(report, clock_.now());
-        return runUntil(context_, node.duty.handleHeartbeat(holding, true, clock_.now()));
+        return runUntil(context_, node.controller.handleHeartbeat(holding, true, clock_.now()));
     }
 
     ScriptedStore &store() { return store_; }
     const Clock &clock() const { return clock_; }
 
-    /** While set, nodes do not learn what others have written, as behind a slow watch. */
-    void holdNews(bool hold) { holdsNews_ = hold; }
+    /** While set, nodes do not receive records written by others, as with a slow watch. */
+    void holdUpdates(bool hold) { holdsUpdates_ = hold; }
 
-    /** While set, nodes do not learn what others publish of themselves. */
+    /** While set, nodes do not receive member records published by others. */
     void holdMembers(bool hold) { holdsMembers_ = hold; }
 
 private:
-    void share()
+    void deliverUpdates()
     {
-        if (holdsNews_) {
+        if (holdsUpdates_) {
             return;
         }
         for (const auto &node : nodes_) {
@@ -290,7 +297,7 @@
     std::map<std::pair<NodeId, NodeId>, MemberRecord> known_;
     std::set<NodeId> silenced_;
     uint64_t revision_ = 0;
-    bool holdsNews_ = false;
+    bool holdsUpdates_ = false;
     bool holdsMembers_ = false;
 };
 
--- a/test/support/ownership_node.h
+++ b/test/support/ownership_node.h
@@ -1,5 +1,5 @@
-/** @file ownership_node.h One life of a node's process: the product's duty of the keys over
- * simulated ports. */
+/** @file ownership_node.h One incarnation of a node process: the RangeController of the product
+ * over simulated ports. */
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace wisteriahoist::testing {
 
-/** Random numbers from the world's seed. */
+/** Random numbers drawn from the seed of the world. */
 class SeededRandom final : public RandomSource
 {
 public:
@@ -21,9 +21,9 @@
 };
 
 /**
- * The duty with all that it decides on, on an event loop and a clock of its own. The world delivers
- * what is sent here; a node that is paused finds it when it goes on. Destroyed, it is a process
- * that was killed: what it has sent may still arrive.
+ * The RangeController and everything it depends on, with its own event loop and clock. The world
+ * delivers the messages sent here; a paused node receives them when it resumes. Destroying the
+ * object corresponds to killing the process: messages already sent may still arrive.
  */
 class SimulatedNode
 {
@@ -36,7 +36,7 @@
 
     void start();
 
-    /** Runs what is ready on the node's event loop. */
+    /** Runs the handlers that are ready in the event loop of the node. */
     void run();
 
     void onConfig(const RouteConfig &config);
@@ -47,16 +47,16 @@
     /** A call of another node for @p path arrives. */
     void onPeerCall(const std::string &path, const std::string &body, const PeerAnswer &answer);
 
-    /** A request finds out whether the backend server refuses connections, and which life it is. */
+    /** A request detects whether the backend server refuses connections, and its incarnation. */
     void onLook();
     void onDeregister();
 
-    /** The node's process is told to end soon. */
+    /** The process of the node is asked to stop. */
     void beginStop();
 
     MemberRecord published() const;
 
-    /** @return Whether a request for @p key would be handed over now. */
+    /** @return Whether a request for @p key would be forwarded now. */
     bool admits(ShardKey key) const;
 
     /** A request for @p key has kept the backend server busy for @p busy. */
@@ -64,20 +64,20 @@
 
 private:
     class Store;
-    class Orders;
+    class ControlCalls;
     class Peers;
 
-    /** Runs @p action on the node's event loop. */
+    /** Runs @p action in the event loop of the node. */
     template <typename Action>
     void post(Action action);
     asio::awaitable<bool> probe(MemberRecord member);
     asio::awaitable<std::string> answerProbe(std::string body);
-    void lookAround();
+    void checkBackend();
     asio::awaitable<void> takeReport(BackendReport report, ReportAnswer answer);
 
     OwnershipWorld &world_;
     size_t index_;
-    asio::io_context context_{1}; ///< Outlives all that waits on it.
+    asio::io_context context_{1}; ///< Outlives everything that waits on it.
     SimulatedClock clock_;
     SimulatedTimers timers_;
     SeededRandom random_;
@@ -85,11 +85,11 @@
     BackendMonitor monitor_{MonitorLimits{}};
     PeerLoads loads_;
     std::unique_ptr<Store> store_;
-    std::unique_ptr<Orders> orders_;
+    std::unique_ptr<ControlCalls> controlCalls_;
     std::unique_ptr<Peers> peers_;
     MemberRecord self_;
-    std::unique_ptr<RangeController> duty_;
-    /** Ends with the node; actions on the agenda hold it weakly. */
+    std::unique_ptr<RangeController> controller_;
+    /** Expires with the node; actions in the event queue hold it weakly. */
     std::shared_ptr<SimulatedNode *> alive_;
 };
 
--- a/test/support/ownership_world.h
+++ b/test/support/ownership_world.h
@@ -1,5 +1,5 @@
-/** @file ownership_world.h Nodes, backend servers and a store on a simulated clock, under faults.
- */
+/** @file ownership_world.h Nodes, backend servers and a store on a simulated clock, with injected
+ * faults. */
 
 #pragma once
 
@@ -16,19 +16,20 @@
 
 namespace wisteriahoist::testing {
 
-/** How keys are granted, and how they are recorded. */
+/** How keys are granted and stored. */
 struct WorldSettings {
     GrantDelivery form = GrantDelivery::Call;
-    uint32_t blocks = 1;                           ///< Records that the table is kept in.
-    std::function<void(const std::string &)> tell; ///< Gets each step, to read a seed that fails.
+    uint32_t blocks = 1; ///< Number of records that store the table.
+    std::function<void(const std::string &)>
+            trace; ///< Receives each step, for analysing a failing seed.
 };
 
 class SimulatedNode;
 
 /**
- * Three nodes, each with a backend server beside it, and the store. Draws what is lost, late,
- * doubled or refused, who crashes or stands still, and which keys are busy; the nodes run the
- * product's duty of the keys.
+ * Three nodes, each with a backend server, and the store. Determines at random which messages are
+ * lost, late, duplicated or refused, what crashes or is paused, and which keys are busy. The nodes
+ * run the RangeController of the product.
  */
 class OwnershipWorld
 {
@@ -41,22 +42,26 @@
     OwnershipWorld(uint64_t seed, WorldSettings settings);
     ~OwnershipWorld();
 
-    /** Runs for @p time of the simulated clock, or until two hold a key.
-     * @return Whether at most one held each key, as the holders count it. */
+    /**
+     * Runs for @p time of the simulated clock, or until a key is held twice.
+     * @return Whether each key had at most one holder, according to the backend servers.
+     */
     bool run(Duration time);
 
-    /** Ends all faults; who is down or cut off comes back. */
+    /** Ends all faults; nodes and backend servers that are down or cut off recover. */
     void endFaults();
 
-    /** Runs until each key is served, for @p bound at most.
-     * @return Whether that was reached and no key was held twice. */
+    /**
+     * Runs until each key is served, for at most @p bound.
+     * @return Whether that was reached and no key was held twice.
+     */
     bool recovers(Duration bound);
 
-    /** @return What was broken; empty if nothing was. */
+    /** @return Description of the violated condition; empty if none. */
     const std::string &violation() const { return violation_; }
 
     uint64_t handovers() const { return handovers_; } ///< Changes of the table that moved keys.
-    uint64_t takeovers() const { return takeovers_; } ///< Leases taken away.
+    uint64_t takeovers() const { return takeovers_; } ///< Revoked leases.
 
 private:
     friend class SimulatedNode;
@@ -66,14 +71,14 @@
     using OrderDone = std::function<void(ControlReply)>;
     using CallDone = std::function<void(Result<std::string>)>;
 
-    /** What is between one node and the others, and the state of its VM. */
+    /** State of the links of one node and of its VM. */
     struct Link {
-        TimePoint cutUntil = NeverTime;     ///< From the other nodes.
+        TimePoint cutUntil = NeverTime;     ///< Cut off from the other nodes.
         TimePoint refusesUntil = NeverTime; ///< Its backend server refuses connections.
-        TimePoint pausedUntil = NeverTime;  ///< Node and backend server stand still.
+        TimePoint pausedUntil = NeverTime;  ///< Node and backend server are paused.
     };
 
-    /** What a node asks the store to replace, over which revision; 0: to create. */
+    /** Replaces a record if its revision is still @p over; 0: the record is created. */
     struct RecordWrite {
         std::string name;
         StoreRevision over;
@@ -83,9 +88,9 @@
     // Calls of the nodes.
     void read(size_t index, RecordKind kind, const std::string &name, ReadDone done);
     void write(size_t index, RecordKind kind, RecordWrite write, const WriteDone &done);
-    void sendGrant(size_t index, const GrantRequest &order, milliseconds timeout,
+    void sendGrant(size_t index, const GrantRequest &request, milliseconds timeout,
                    const OrderDone &done);
-    void sendRelease(size_t index, const ReleaseRequest &order, milliseconds timeout,
+    void sendRelease(size_t index, const ReleaseRequest &request, milliseconds timeout,
                      const OrderDone &done);
     void sendPeerCall(size_t from, NodeId to, const std::string &path, std::string body,
                       milliseconds timeout, const CallDone &done);
@@ -103,16 +108,16 @@
     void heartbeat(size_t index, uint64_t life);
     void deliverReport(size_t index, uint64_t life, const BackendReport &report, TimePoint sentAt);
     void readAnswer(size_t index, uint64_t life, uint64_t number,
-                    const std::optional<GrantReply> &order, TimePoint sentAt);
+                    const std::optional<GrantReply> &reply, TimePoint sentAt);
     void endExchange(size_t index, uint64_t life, uint64_t number);
-    void carryOutGrant(size_t index, const GrantRequest &order, TimePoint arrivedAt,
+    void carryOutGrant(size_t index, const GrantRequest &request, TimePoint arrivedAt,
                        const OrderDone &done);
     void checkTaken(size_t index);
 
     // Work and faults.
-    void drawWork();
-    void planFault();
-    void breakSomething();
+    void sendRequests();
+    void scheduleFault();
+    void injectFault();
     void crashNode(size_t index);
     void startNode(size_t index);
     void leave(size_t index);
@@ -126,32 +131,33 @@
     bool isServed(ShardKey key) const;
     bool isEachKeyServed() const;
     void fail(const std::string &what);
-    void tell(const std::string &what, size_t index) const;
-    void tellReport(const BackendReport &report, TimePoint sentAt, size_t index) const;
-    bool isTroubled() { return !calm_ && dice_.oneIn(trouble_); }
-    bool isCut(size_t index) const { return agenda_.now() < links_[index].cutUntil; }
-    bool isPaused(size_t index) const { return agenda_.now() < links_[index].pausedUntil; }
+    void trace(const std::string &what, size_t index) const;
+    void traceReport(const BackendReport &report, TimePoint sentAt, size_t index) const;
+    bool isFaulty() { return !faultsEnded_ && draws_.oneIn(faultOdds_); }
+    bool isCut(size_t index) const { return events_.now() < links_[index].cutUntil; }
+    bool isPaused(size_t index) const { return events_.now() < links_[index].pausedUntil; }
     bool refuses(size_t index) const;
     milliseconds drawDelay();
     milliseconds drawConnectTime();
 
     WorldSettings settings_;
-    Dice dice_;
-    uint64_t trouble_;        ///< One call in so many meets a fault.
-    bool isPeriodic_;         ///< Heartbeats are also sent before the last one was answered.
-    milliseconds usualDelay_; ///< At most, of a message that meets none.
-    bool calm_ = false;       ///< Faults have ended.
-    Agenda agenda_;
+    SeededDraws draws_;
+    uint64_t faultOdds_;       ///< One in this many calls is affected by a fault.
+    bool isPeriodic_;          ///< Heartbeats are also sent before the last one was answered.
+    milliseconds usualDelay_;  ///< Maximum delay of a message that is not affected by a fault.
+    bool faultsEnded_ = false; ///< Faults have ended.
+    EventQueue events_;
     std::map<std::pair<RecordKind, std::string>, StoredRecord> records_;
     std::array<std::optional<MemberRecord>, NodeCount> published_;
     std::array<double, NodeCount> clockRates_{};
-    std::array<ModelBackend, NodeCount> backends_;
+    std::array<SimulatedBackend, NodeCount> backends_;
     std::array<std::unique_ptr<SimulatedNode>, NodeCount> nodes_;
-    std::array<uint64_t, NodeCount> lives_{};     ///< Of each backend server, counted.
-    std::array<uint64_t, NodeCount> nodeLives_{}; ///< Of each node, counted.
-    std::array<uint64_t, NodeCount> ended_{};     ///< Heartbeat that was given up or answered last.
+    std::array<uint64_t, NodeCount> lives_{};     ///< Incarnation number of each backend server.
+    std::array<uint64_t, NodeCount> nodeLives_{}; ///< Incarnation number of each node.
+    std::array<uint64_t, NodeCount>
+            lastEndedHeartbeats_{}; ///< Latest heartbeat that was answered or given up.
     std::array<Link, NodeCount> links_;
-    ShardKey hotKey_; ///< Much of the load is about it, for a while.
+    ShardKey hotKey_; ///< Receives much of the load for a while.
     uint64_t revision_ = 0;
     uint64_t handovers_ = 0;
     uint64_t takeovers_ = 0;
--- a/test/support/property.h
+++ b/test/support/property.h
@@ -1,4 +1,5 @@
-/** @file property.h RapidCheck properties with a fixed seed, so that each run tries the same. */
+/** @file property.h RapidCheck properties with a fixed seed, so that each run tests the same
+ * inputs. */
 
 #pragma once
 
--- a/test/support/range_fixture.h
+++ b/test/support/range_fixture.h
@@ -1,5 +1,5 @@
-/** @file range_fixture.h Two holders that share all keys, and the keeper of the first one's half.
- */
+/** @file range_fixture.h Two holders that share all keys, and a GrantManager for the
+ * first one's half. */
 
 #pragma once
 
@@ -8,22 +8,22 @@
 namespace wisteriahoist::testing {
 
 inline constexpr TimePoint Start{std::chrono::hours(1)};
-inline constexpr TimePoint Forever = Start + std::chrono::hours(1); ///< A lease that never binds.
+inline constexpr TimePoint Forever = Start + std::chrono::hours(1); ///< Never limits a grant.
 inline const RangeHolder Self{NodeId(1), Incarnation(1), "b-1"};
 inline const RangeHolder Other{NodeId(2), Incarnation(1), "b-2"};
 
-/** @return Half of the keys for each holder, Self's first. */
+/** @return A table with half of the keys for each holder, Self's first. */
 inline RangeTable makeTable()
 {
     return makeRangeTable({{Self, 1}, {Other, 1}});
 }
 
-/** @return A keeper that knows of Self's half and has granted nothing yet. */
-inline GrantManager makeKeeper()
+/** @return A manager of Self's half that has not granted anything yet. */
+inline GrantManager makeManager()
 {
-    GrantManager keeper(GrantTimes{}, NeverTime);
-    keeper.onTable(makeTable(), Self, Start);
-    return keeper;
+    GrantManager manager(GrantTimes{}, NeverTime);
+    manager.onTable(makeTable(), Self, Start);
+    return manager;
 }
 
 } // namespace wisteriahoist::testing
--- a/test/support/simulated_clock.h
+++ b/test/support/simulated_clock.h
@@ -1,4 +1,5 @@
-/** @file simulated_clock.h Time that a test advances, and coroutines that wait for it. */
+/** @file simulated_clock.h A simulated clock advanced by a test, and coroutines that wait for
+ * it. */
 
 #pragma once
 
@@ -20,11 +21,11 @@
 
 namespace asio = boost::asio;
 
-/** Draws from a seed; the same on every machine. */
-class Dice
+/** Pseudo-random numbers from a seed; the same sequence on every machine. */
+class SeededDraws
 {
 public:
-    explicit Dice(uint64_t seed) : random_(seed) { }
+    explicit SeededDraws(uint64_t seed) : random_(seed) { }
 
     uint64_t below(uint64_t bound) { return random_() % bound; }
     bool oneIn(uint64_t chances) { return below(chances) == 0; }
@@ -37,13 +38,13 @@
     std::minstd_rand random_;
 };
 
-/** What happens when, on a simulated clock. */
-class Agenda
+/** Actions scheduled on a simulated clock. */
+class EventQueue
 {
 public:
     using Action = std::function<void()>;
 
-    explicit Agenda(TimePoint start) : now_(start) { }
+    explicit EventQueue(TimePoint start) : now_(start) { }
 
     TimePoint now() const { return now_; }
 
@@ -55,7 +56,7 @@
 
     void after(Duration delay, Action action) { at(now_ + delay, std::move(action)); }
 
-    /** Runs the next action, unless it comes after @p end. @return Whether there was one. */
+    /** Runs the next action unless it is later than @p end. @return Whether there was one. */
     bool step(TimePoint end)
     {
         if (queue_.empty() || queue_.front().time > end) {
@@ -72,7 +73,7 @@
 private:
     struct Item {
         TimePoint time;
-        uint64_t number; ///< Ties keep their order.
+        uint64_t number; ///< Keeps actions with equal times in order.
         Action action;
         bool operator<(const Item &other) const
         {
@@ -82,67 +83,67 @@
 
     TimePoint now_;
     uint64_t count_ = 0;
-    std::vector<Item> queue_; ///< A heap.
+    std::vector<Item> queue_; ///< Heap ordered by time and number.
 };
 
-/** A machine's clock, which runs at a rate of its own. */
+/** The clock of one machine, running at its own rate. */
 class SimulatedClock final : public Clock
 {
 public:
-    SimulatedClock(const Agenda &agenda, double rate)
-        : agenda_(agenda), rate_(rate), start_(agenda.now())
+    SimulatedClock(const EventQueue &events, double rate)
+        : events_(events), rate_(rate), start_(events.now())
     { }
 
     TimePoint now() const override
     {
-        return start_ + std::chrono::duration_cast<Duration>((agenda_.now() - start_) * rate_);
+        return start_ + std::chrono::duration_cast<Duration>((events_.now() - start_) * rate_);
     }
 
-    /** @return How long @p duration of this clock takes on the agenda. */
+    /** @return How much simulated time passes while this clock advances by @p duration. */
     Duration realTime(Duration duration) const
     {
         return std::chrono::duration_cast<Duration>(duration / rate_);
     }
 
 private:
-    const Agenda &agenda_;
+    const EventQueue &events_;
     double rate_;
     TimePoint start_;
 };
 
-/** Something that a coroutine waits for and the simulated world brings about. */
-class Signal
+/** A one-time event that a coroutine waits for and the simulation triggers. */
+class OneShotEvent
 {
 public:
-    explicit Signal(asio::io_context &context)
+    explicit OneShotEvent(asio::io_context &context)
         : timer_(context, asio::steady_timer::time_point::max())
     { }
 
-    void raise()
+    void trigger()
     {
-        raised_ = true;
+        triggered_ = true;
         timer_.cancel();
     }
 
     asio::awaitable<void> wait()
     {
         boost::system::error_code ignored;
-        while (!raised_) {
+        while (!triggered_) {
             co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
     }
 
 private:
     asio::steady_timer timer_;
-    bool raised_ = false;
+    bool triggered_ = false;
 };
 
-/** Timers of one node: they end when the agenda gets there, whatever the real time is. */
+/** Timers of one node, which expire on the simulated clock, independent of real time. */
 class SimulatedTimers final : public WakeTimerFactory
 {
 public:
-    SimulatedTimers(asio::io_context &context, Agenda &agenda, const SimulatedClock &clock)
-        : context_(context), agenda_(agenda), clock_(clock)
+    SimulatedTimers(asio::io_context &context, EventQueue &events, const SimulatedClock &clock)
+        : context_(context), events_(events), clock_(clock)
     { }
 
     std::unique_ptr<WakeTimer> make() override { return std::make_unique<Timer>(*this); }
@@ -155,31 +156,31 @@
 
         asio::awaitable<void> wait(Duration duration) override
         {
-            const auto signal = std::make_shared<Signal>(timers_.context_);
-            waiting_ = signal;
-            const std::weak_ptr<Signal> weak = signal;
-            timers_.agenda_.after(timers_.clock_.realTime(duration), [weak]() {
+            const auto event = std::make_shared<OneShotEvent>(timers_.context_);
+            waiting_ = event;
+            const std::weak_ptr<OneShotEvent> weak = event;
+            timers_.events_.after(timers_.clock_.realTime(duration), [weak]() {
                 if (const auto due = weak.lock()) {
-                    due->raise();
+                    due->trigger();
                 }
             });
-            co_await signal->wait();
+            co_await event->wait();
         }
 
         void wake() override
         {
             if (const auto waiting = waiting_.lock()) {
-                waiting->raise();
+                waiting->trigger();
             }
         }
 
     private:
         SimulatedTimers &timers_;
-        std::weak_ptr<Signal> waiting_;
+        std::weak_ptr<OneShotEvent> waiting_;
     };
 
     asio::io_context &context_;
-    Agenda &agenda_;
+    EventQueue &events_;
     const SimulatedClock &clock_;
 };
 
