--- a/test/unit/range/grant_authority_test.cpp
+++ b/test/unit/range/grant_authority_test.cpp
@@ -1,5 +1,5 @@
-/** @file grant_authority_test.cpp Leases, witnesses and takers: who may grant, and when a taker may
- * act. */
+/** @file grant_authority_test.cpp Leases, witnesses and takeovers: which node may grant, and when
+ * another node may take over. */
 
 #include "decision/range/grant_authority.h"
 #include "support/test_section.h"
@@ -22,7 +22,7 @@
     return {StoreLeaseTimes{}, WitnessTimes{}};
 }
 
-/** Lease, then contact, then the renewal that a new contact asks for. */
+/** Obtains the lease, then contact, then the renewal that new contact requires. */
 GrantAuthority makeValid()
 {
     GrantAuthority authority = makeAuthority();
@@ -37,12 +37,12 @@
 Test(grant_authority, needs_lease_and_contact)
 {
     GrantAuthority authority = makeAuthority();
-    SECTION("a lease that names no witness is enough alone")
+    SECTION("a lease that names no witnesses is sufficient by itself")
     {
         authority.onRenewed({}, Start);
         cr_assert(authority.validUntil() == Start + StoreLeaseTimes{}.term);
     }
-    SECTION("with witnesses one of them has to answer, and the lease to be renewed after that")
+    SECTION("a lease with witnesses needs an acknowledgement and a later renewal")
     {
         authority.onRenewed(Both, Start);
         cr_assert(authority.validUntil() <= Start);
@@ -52,13 +52,13 @@
         authority.onRenewed(Both, Start + milliseconds(3));
         cr_assert(authority.validUntil() == Start + WitnessTimes{}.term);
     }
-    SECTION("an answer counts from the sending of its heartbeat")
+    SECTION("an acknowledgement counts from the sending of its heartbeat")
     {
         GrantAuthority valid = makeValid();
         valid.onAcknowledged(FirstWitness, Start + milliseconds(400), Start + milliseconds(900));
         cr_assert(valid.validUntil() == Start + milliseconds(400) + WitnessTimes{}.term);
     }
-    SECTION("who is not named by the lease does not count")
+    SECTION("a node that the lease does not name is no witness")
     {
         GrantAuthority valid = makeValid();
         valid.onAcknowledged(NodeId(9), Start + milliseconds(400), Start + milliseconds(400));
@@ -66,10 +66,11 @@
     }
 }
 
-// Two backend servers hold a key: the holder names another witness; a taker has read the old list
-// and fences the old witness, while the new one goes on answering. Until the store has taken the
-// new list only a witness on both counts.
-Test(grant_authority, a_new_witness_counts_once_the_lease_names_it)
+// Guards against two backend servers holding one key. The holder names a different witness;
+// another node has read the old list and fences the old witness, while the new witness still
+// acknowledges heartbeats. Until the store has accepted the new list, only a witness on both lists
+// counts.
+Test(grant_authority, new_witness_counts_once_the_lease_names_it)
 {
     GrantAuthority authority = makeValid();
     const std::set<NodeId> changed{SecondWitness, NodeId(4)};
@@ -80,7 +81,7 @@
     cr_assert(authority.validUntil() == Start + WitnessTimes{}.term);
     authority.onAcknowledged(SecondWitness, later, later);
     cr_assert(authority.validUntil() == later + WitnessTimes{}.term);
-    SECTION("afterwards it does")
+    SECTION("the new witness counts after the renewal")
     {
         authority.onRenewed(changed, later);
         authority.onAcknowledged(NodeId(4), later + milliseconds(400), later + milliseconds(400));
@@ -88,27 +89,28 @@
     }
 }
 
-// Two backend servers hold a key: a node that reached nobody has a lease without witnesses, which
-// counts for its whole term. Its next renewal names one and is taken, but the answer is lost. A
-// taker reads that one, fences the witness, waits for the contact term and revokes, while the node
-// still counts on the lease alone.
-Test(grant_authority, a_renewal_that_may_name_witnesses_binds_to_contact)
+// Guards against two backend servers holding one key. A node that reached no other node has a
+// lease without witnesses, which counts for its whole term. Its next renewal names witnesses and
+// is accepted, but the answer is lost. Another node reads the renewed lease, fences the witnesses,
+// waits for the contact term and revokes the lease, while the holder still relies on the lease
+// alone.
+Test(grant_authority, renewal_that_may_name_witnesses_requires_contact)
 {
     GrantAuthority authority = makeAuthority();
     cr_assert(authority.lease().beginRenewal(Start));
     authority.onRenewed({}, Start);
-    const TimePoint sent = Start + StoreLeaseTimes{}.renewEvery;
+    const TimePoint sent = Start + StoreLeaseTimes{}.renewInterval;
     cr_assert(authority.lease().beginRenewal(sent));
     authority.onRenewalSent(Both);
     authority.lease().onFailed();
     cr_assert(authority.validUntil() == sent + WitnessTimes{}.term);
-    SECTION("a witness that it may name extends that")
+    SECTION("an acknowledgement by a witness that may be named extends the authority")
     {
         const TimePoint heard = sent + milliseconds(400);
         authority.onAcknowledged(FirstWitness, heard, heard);
         cr_assert(authority.validUntil() == heard + WitnessTimes{}.term);
     }
-    SECTION("once the store has taken one without witnesses, the lease counts alone again")
+    SECTION("after an accepted renewal without witnesses the lease alone counts again")
     {
         const TimePoint later = sent + milliseconds(500);
         authority.onRenewed({}, later);
@@ -116,16 +118,17 @@
     }
 }
 
-// Two backend servers hold a key: the holder is cut off and fenced at its witness, its contact
-// lapses, and the taker is about to revoke the lease. The witness restarts, has forgotten the fence
-// and answers again. Only a renewal sent after that makes the holder grant again, and the taker's
-// revocation of the earlier revision and this renewal exclude each other.
-Test(grant_authority, contact_that_comes_back_wants_a_renewal)
+// Guards against two backend servers holding one key. The holder is cut off and fenced at its
+// witness, its contact expires, and another node is about to revoke the lease. The witness
+// restarts, loses its fence and acknowledges heartbeats again. Only a renewal sent after that
+// allows the holder to grant again; that renewal and the revocation of the earlier revision
+// exclude each other.
+Test(grant_authority, resumed_contact_requires_a_renewal)
 {
     GrantAuthority authority = makeValid();
-    const TimePoint lapsed = Start + WitnessTimes{}.term + milliseconds(100);
-    authority.onRenewed(Both, lapsed); // The lease alone was renewed all the while.
-    const TimePoint back = lapsed + milliseconds(100);
+    const TimePoint expired = Start + WitnessTimes{}.term + milliseconds(100);
+    authority.onRenewed(Both, expired); // Only the lease was renewed in the meantime.
+    const TimePoint back = expired + milliseconds(100);
     authority.onAcknowledged(FirstWitness, back, back);
     cr_assert(authority.validUntil() <= back);
     cr_assert(authority.needsRenewal(back));
@@ -133,32 +136,32 @@
     cr_assert(authority.validUntil() > back);
 }
 
-Test(witness_desk, fences)
+Test(heartbeat_witness, fences_only_silent_incarnations)
 {
-    HeartbeatWitness desk{WitnessTimes{}};
-    cr_assert(desk.onHeartbeat(Holder, Life, Start));
-    SECTION("not a node that it has just heard of: the taker alone has lost it")
+    HeartbeatWitness witness{WitnessTimes{}};
+    cr_assert(witness.onHeartbeat(Holder, Life, Start));
+    SECTION("refuses to fence a node just heard from: only the other node has lost contact")
     {
-        cr_assert(!desk.onFence(Holder, Life, Start + milliseconds(300)));
-        cr_assert(desk.onHeartbeat(Holder, Life, Start + milliseconds(400)));
+        cr_assert(!witness.onFence(Holder, Life, Start + milliseconds(300)));
+        cr_assert(witness.onHeartbeat(Holder, Life, Start + milliseconds(400)));
     }
-    SECTION("a silent one, and for good")
+    SECTION("fences a silent node permanently")
     {
-        cr_assert(desk.onFence(Holder, Life, Start + milliseconds(1200)));
-        cr_assert(!desk.onHeartbeat(Holder, Life, Start + milliseconds(1300)));
-        cr_assert(desk.onFence(Holder, Life, Start + milliseconds(1400)));
+        cr_assert(witness.onFence(Holder, Life, Start + milliseconds(1200)));
+        cr_assert(!witness.onHeartbeat(Holder, Life, Start + milliseconds(1300)));
+        cr_assert(witness.onFence(Holder, Life, Start + milliseconds(1400)));
     }
-    SECTION("its next life is not fenced with it")
+    SECTION("does not fence the next incarnation of a fenced node")
     {
-        cr_assert(desk.onFence(Holder, Life, Start + milliseconds(1200)));
-        cr_assert(desk.onHeartbeat(Holder, Incarnation(11), Start + milliseconds(1300)));
+        cr_assert(witness.onFence(Holder, Life, Start + milliseconds(1200)));
+        cr_assert(witness.onHeartbeat(Holder, Incarnation(11), Start + milliseconds(1300)));
     }
 }
 
 Test(takeover, waits_for_every_witness)
 {
     Takeover takeover(WitnessTimes{}, Life, {FirstWitness, SecondWitness});
-    // The term on a clock that runs 2% slow, and 200 ms for the last grant on its way.
+    // The term on a clock that runs 2% slow, plus 200 ms for a last grant in flight.
     constexpr milliseconds Wait
             = WitnessTimes{}.term + WitnessTimes{}.term / 50 + milliseconds(200);
     const TimePoint due = Start + Wait;
@@ -167,13 +170,13 @@
     takeover.onFenced(SecondWitness, Incarnation(1), Start);
     cr_assert(!takeover.isDue(Start + WitnessTimes{}.term));
     cr_assert(takeover.isDue(due));
-    SECTION("a witness that has restarted has forgotten its fence: the wait begins anew")
+    SECTION("the waiting time starts again if a witness has restarted and lost its fence")
     {
         takeover.onFenced(SecondWitness, Incarnation(2), due);
         cr_assert(!takeover.isDue(due));
         cr_assert(takeover.isDue(due + Wait));
     }
-    SECTION("without witnesses only the lease decides")
+    SECTION("without witnesses a takeover by fencing never becomes due")
     {
         cr_assert(!Takeover(WitnessTimes{}, Life, {}).isDue(due));
     }
@@ -182,21 +185,25 @@
 namespace {
 
 /**
- * A holder, two witnesses, a taker and the lease's revision, driven by random steps. The taker's
- * revocation may be done late: it takes effect if the lease still has the revision that was read.
+ * A holder, two witnesses, a node that takes over and the revision of the lease, driven by random
+ * steps. The revocation may be applied late; it takes effect only if the lease still has the
+ * revision that was read.
  */
 class TakeoverModel
 {
 public:
     explicit TakeoverModel(uint64_t seed) : random_(seed) { renew(); }
 
-    /** @return false if the holder could grant after the revocation without having been told. */
+    /**
+     * @return false if the holder could grant after the revocation without having been notified of
+     *         it.
+     */
     bool run(int steps)
     {
         for (int step = 0; step < steps; ++step) {
             now_ += milliseconds(draw(6) * 100);
             act();
-            if (revoked_ && !told_ && authority_.validUntil() > now_) {
+            if (revoked_ && !notified_ && authority_.validUntil() > now_) {
                 return false;
             }
         }
@@ -226,7 +233,7 @@
 
     void heartbeat(size_t witness)
     {
-        if (desks_[witness].onHeartbeat(Holder, Life, now_)) {
+        if (witnesses_[witness].onHeartbeat(Holder, Life, now_)) {
             authority_.onAcknowledged(NodeId(2 + witness), now_, now_);
         }
     }
@@ -235,7 +242,7 @@
     {
         if (revoked_) {
             authority_.onRevoked();
-            told_ = true;
+            notified_ = true;
             return;
         }
         ++revision_;
@@ -246,7 +253,7 @@
     {
         const uint64_t read = revision_;
         for (size_t witness = 0; witness < 2; ++witness) {
-            if (!desks_[witness].onFence(Holder, Life, now_)) {
+            if (!witnesses_[witness].onFence(Holder, Life, now_)) {
                 takeover_ = makeTakeover();
                 return;
             }
@@ -265,7 +272,7 @@
 
     void restart(size_t witness)
     {
-        desks_[witness] = HeartbeatWitness(WitnessTimes{});
+        witnesses_[witness] = HeartbeatWitness(WitnessTimes{});
         lives_[witness] = lives_[witness].next();
     }
 
@@ -274,21 +281,22 @@
     std::mt19937_64 random_;
     TimePoint now_ = Start;
     GrantAuthority authority_ = makeAuthority();
-    std::vector<HeartbeatWitness> desks_{HeartbeatWitness{WitnessTimes{}},
-                                         HeartbeatWitness{WitnessTimes{}}};
+    std::vector<HeartbeatWitness> witnesses_{HeartbeatWitness{WitnessTimes{}},
+                                             HeartbeatWitness{WitnessTimes{}}};
     std::vector<Incarnation> lives_{Incarnation(1), Incarnation(1)};
     Takeover takeover_ = makeTakeover();
     uint64_t revision_ = 0;
-    uint64_t sent_ = 0; ///< Revision that a revocation on its way is bound to; 0: none.
+    uint64_t sent_ = 0; ///< Revision that the revocation in flight depends on; 0: none in flight.
     bool revoked_ = false;
-    bool told_ = false;
+    bool notified_ = false;
 };
 
 } // namespace
 
-// Taken out one at a time in trials, each of these makes the test fail: the renewal after a contact
-// that came back, the witness's life in a fence, the confirmation of all fences at the end.
-Test(takeover, no_sequence_of_steps_leaves_a_revoked_holder_with_authority)
+// Depends on three rules; the test failed with any one of them removed: the renewal after contact
+// has resumed, the incarnation of the witness in a fence, and the final confirmation of all
+// fences.
+Test(takeover, revoked_holder_never_keeps_authority)
 {
     int revocations = 0;
     for (uint64_t seed = 1; seed <= 20000; ++seed) {
@@ -296,5 +304,5 @@
         cr_assert(model.run(60), "seed %lu", seed);
         revocations += model.hasRevoked() ? 1 : 0;
     }
-    cr_assert(revocations > 1000, "the steps have to reach revocations: %d", revocations);
+    cr_assert(revocations > 1000, "too few revocations to be meaningful: %d", revocations);
 }
--- a/test/unit/range/grant_manager_test.cpp
+++ b/test/unit/range/grant_manager_test.cpp
@@ -1,5 +1,5 @@
-/** @file grant_manager_test.cpp Grants, renewals and releases of one node, under lost and late
- * answers. */
+/** @file grant_manager_test.cpp Grants, renewals and releases by one node when answers are lost or
+ * late. */
 
 #include "support/range_fixture.h"
 #include "support/test_section.h"
@@ -11,80 +11,81 @@
 
 namespace {
 
-/** What a grant lasts at a backend server whose clock runs 2% slow, 100 ms on the way included. */
-constexpr milliseconds Lapse = GrantTimes{}.hold + GrantTimes{}.hold / 50 + milliseconds(100);
+/** Duration of a grant on a clock that runs 2% slow, including 100 ms for its transmission. */
+constexpr milliseconds GrantDuration
+        = GrantTimes{}.hold + GrantTimes{}.hold / 50 + milliseconds(100);
 
-/** Sends what is due and answers it with @p result. */
-void grantAll(GrantManager &keeper, ControlResult result, TimePoint now)
+/** Sends the grants that are due and ends each of them with @p result. */
+void grantAll(GrantManager &manager, ControlResult result, TimePoint now)
 {
-    for (const GrantRequest &order : keeper.takeDueGrants(Forever, now)) {
-        keeper.onGrantEnd(order, result);
+    for (const GrantRequest &request : manager.takeDueGrants(Forever, now)) {
+        manager.onGrantEnd(request, result);
     }
 }
 
-void releaseAll(GrantManager &keeper, ControlResult result, TimePoint now)
+void releaseAll(GrantManager &manager, ControlResult result, TimePoint now)
 {
-    for (const ReleaseRequest &order : keeper.takeDueReleases(now)) {
-        keeper.onReleaseEnd(order, result, "token", now);
+    for (const ReleaseRequest &request : manager.takeDueReleases(now)) {
+        manager.onReleaseEnd(request, result, "token", now);
     }
 }
 
 } // namespace
 
-Test(range_keeper, admits_only_what_was_confirmed)
+Test(grant_manager, admits_only_confirmed_keys)
 {
-    GrantManager keeper = makeKeeper();
+    GrantManager manager = makeManager();
     SECTION("nothing before the first grant is answered")
     {
-        cr_assert(!keeper.admits(ShardKey(5), Forever, Start));
+        cr_assert(!manager.admits(ShardKey(5), Forever, Start));
     }
-    SECTION("own keys afterwards, and nobody else's")
+    SECTION("its own keys afterwards, but not those of others")
     {
-        grantAll(keeper, ControlResult::Accepted, Start);
-        cr_assert(keeper.admits(ShardKey(5), Forever, Start));
-        cr_assert(!keeper.admits(ShardKey(60000), Forever, Start));
+        grantAll(manager, ControlResult::Accepted, Start);
+        cr_assert(manager.admits(ShardKey(5), Forever, Start));
+        cr_assert(!manager.admits(ShardKey(60000), Forever, Start));
     }
-    SECTION("until the grant or the lease is over, whichever is first")
+    SECTION("until the grant or the lease expires, whichever is first")
     {
-        const TimePoint lapsed = Start + GrantTimes{}.hold;
-        cr_assert(!keeper.admits(ShardKey(5), Forever, lapsed));
-        cr_assert(!keeper.admits(ShardKey(5), Start, Start));
+        const TimePoint expired = Start + GrantTimes{}.hold;
+        cr_assert(!manager.admits(ShardKey(5), Forever, expired));
+        cr_assert(!manager.admits(ShardKey(5), Start, Start));
     }
-    SECTION("and no grant outlasts the lease")
+    SECTION("no grant outlasts the lease")
     {
         const TimePoint leaseEnd = Start + milliseconds(2500);
-        const auto orders = keeper.takeDueGrants(leaseEnd, Start + milliseconds(1000));
-        cr_assert(orders.size() == 1 && orders[0].hold == milliseconds(1500));
+        const auto requests = manager.takeDueGrants(leaseEnd, Start + milliseconds(1000));
+        cr_assert(requests.size() == 1 && requests[0].hold == milliseconds(1500));
     }
 }
 
-// A caller's request runs at the new holder while the old one takes a grant up again: the old
-// holder's node sent a grant, got no answer, released the range and gave it away; the grant was
-// applied two seconds after all that. Its time counts from its arrival, so the range may go on
-// only after the latest grant without an answer has run out.
-Test(range_keeper, an_unanswered_grant_is_outwaited_after_the_release)
+// Guards against two backend servers holding a key. The node of the old holder sent a grant, got
+// no answer, released the range, and the range moved to another holder; the grant was applied two
+// seconds later. Its hold time counts from its arrival, so the range may move only after the
+// latest unanswered grant has expired.
+Test(grant_manager, unanswered_grant_delays_the_move_after_a_release)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const TimePoint renewed = Start + milliseconds(1000);
-    grantAll(keeper, ControlResult::Unanswered, renewed);
-    keeper.beginRelease(KeySpan{});
+    grantAll(manager, ControlResult::Unanswered, renewed);
+    manager.beginRelease(KeySpan{});
     const TimePoint released = renewed + milliseconds(300);
-    releaseAll(keeper, ControlResult::Accepted, released);
-    SECTION("the confirmed release alone is no proof")
+    releaseAll(manager, ControlResult::Accepted, released);
+    SECTION("the confirmed release alone is not sufficient")
     {
-        cr_assert(keeper.releasedRanges(released).empty());
-        cr_assert(keeper.releasedRanges(renewed + GrantTimes{}.hold - milliseconds(100)).empty());
+        cr_assert(manager.releasedRanges(released).empty());
+        cr_assert(manager.releasedRanges(renewed + GrantTimes{}.hold - milliseconds(100)).empty());
     }
-    SECTION("the lapse of the grant, clock drift included, is")
+    SECTION("the expiry of the grant, including clock drift, is sufficient")
     {
-        const TimePoint lapsed = renewed + Lapse;
-        const auto ranges = keeper.releasedRanges(lapsed);
+        const TimePoint expired = renewed + GrantDuration;
+        const auto ranges = manager.releasedRanges(expired);
         cr_assert(ranges.size() == 1 && ranges[0].handover == "token");
     }
-    SECTION("a grant whose answer is still on its way counts as unanswered")
+    SECTION("a grant that is still in flight counts as unanswered")
     {
-        GrantManager waiting = makeKeeper();
+        GrantManager waiting = makeManager();
         (void)waiting.takeDueGrants(Forever, Start);
         waiting.beginRelease(KeySpan{});
         releaseAll(waiting, ControlResult::Accepted, Start);
@@ -92,129 +93,131 @@
     }
 }
 
-// Two backend servers hold a key for two seconds: a renewal and the release of the same keys were
-// on their way together, on two connections. The release was carried out first, the renewal took
-// the keys up again, and both were answered. The release may only follow the renewal's answer.
-Test(range_keeper, a_release_waits_for_the_answer_of_a_renewal)
+// Guards against two backend servers holding a key, as happened for two seconds. A renewal and
+// a release of the same keys were in flight together on two connections. The release was applied
+// first, the renewal took the keys again, and both were answered. The release must wait for the
+// answer to the renewal.
+Test(grant_manager, release_waits_for_the_answer_to_a_renewal)
 {
-    GrantManager keeper = makeKeeper();
-    const auto orders = keeper.takeDueGrants(Forever, Start);
-    keeper.beginRelease({ShardKey(100), ShardKey(200)});
-    cr_assert(keeper.takeDueReleases(Start).empty());
-    keeper.onGrantEnd(orders.front(), ControlResult::Accepted);
-    cr_assert(keeper.takeDueReleases(Start).size() == 1);
+    GrantManager manager = makeManager();
+    const auto requests = manager.takeDueGrants(Forever, Start);
+    manager.beginRelease({ShardKey(100), ShardKey(200)});
+    cr_assert(manager.takeDueReleases(Start).empty());
+    manager.onGrantEnd(requests.front(), ControlResult::Accepted);
+    cr_assert(manager.takeDueReleases(Start).size() == 1);
 }
 
-// A node that has just started adopts what its earlier life granted, and gives it away at once. The
-// earlier life's last grant may still be on its way, unknown to this one.
-Test(range_keeper, grants_of_an_earlier_life_are_outwaited)
+// A node that has just started adopts what its earlier incarnation granted, and moves it at once.
+// The last grant of the earlier incarnation may still be in flight, unknown to the new one.
+Test(grant_manager, grants_of_an_earlier_incarnation_delay_the_move)
 {
     const TimePoint earlier = Start + milliseconds(4180);
-    GrantManager keeper(GrantTimes{}, earlier);
-    keeper.onTable(makeTable(), Self, Start);
-    grantAll(keeper, ControlResult::Accepted, Start);
-    keeper.beginRelease(KeySpan{});
-    releaseAll(keeper, ControlResult::Accepted, Start);
-    cr_assert(keeper.releasedRanges(Start + milliseconds(500)).empty());
-    cr_assert(keeper.releasedRanges(earlier).size() == 1);
+    GrantManager manager(GrantTimes{}, earlier);
+    manager.onTable(makeTable(), Self, Start);
+    grantAll(manager, ControlResult::Accepted, Start);
+    manager.beginRelease(KeySpan{});
+    releaseAll(manager, ControlResult::Accepted, Start);
+    cr_assert(manager.releasedRanges(Start + milliseconds(500)).empty());
+    cr_assert(manager.releasedRanges(earlier).size() == 1);
 }
 
-Test(range_keeper, release_of_a_part)
+Test(grant_manager, releases_part_of_a_range)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
-    keeper.beginRelease({ShardKey(100), ShardKey(200)});
-    SECTION("the part is admitted no more, the rest is")
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
+    manager.beginRelease({ShardKey(100), ShardKey(200)});
+    SECTION("the part is no longer admitted, the rest is")
     {
-        cr_assert(!keeper.admits(ShardKey(150), Forever, Start));
-        cr_assert(keeper.isLeaving(ShardKey(150)));
-        cr_assert(keeper.admits(ShardKey(99), Forever, Start));
-        cr_assert(keeper.admits(ShardKey(201), Forever, Start));
+        cr_assert(!manager.admits(ShardKey(150), Forever, Start));
+        cr_assert(manager.isLeaving(ShardKey(150)));
+        cr_assert(manager.admits(ShardKey(99), Forever, Start));
+        cr_assert(manager.admits(ShardKey(201), Forever, Start));
     }
-    SECTION("another change of the table does not bring it back")
+    SECTION("another update of the table does not bring it back")
     {
-        keeper.onTable(makeTable(), Self, Start);
-        cr_assert(!keeper.admits(ShardKey(150), Forever, Start));
-        cr_assert(keeper.admits(ShardKey(99), Forever, Start));
+        manager.onTable(makeTable(), Self, Start);
+        cr_assert(!manager.admits(ShardKey(150), Forever, Start));
+        cr_assert(manager.admits(ShardKey(99), Forever, Start));
     }
-    SECTION("a confirmed release may be given on, with its token, also after renewals")
+    SECTION("a confirmed release allows the move, with its token, even after renewals")
     {
-        grantAll(keeper, ControlResult::Accepted, Start + milliseconds(700));
-        releaseAll(keeper, ControlResult::Accepted, Start);
-        const auto released = keeper.releasedRanges(Start);
+        grantAll(manager, ControlResult::Accepted, Start + milliseconds(700));
+        releaseAll(manager, ControlResult::Accepted, Start);
+        const auto released = manager.releasedRanges(Start);
         cr_assert(released.size() == 1 && released[0].span.size() == 101);
         cr_assert(released[0].handover == "token");
     }
-    SECTION("once the table names another holder, nothing is left to do")
+    SECTION("nothing is left to do once the table names another holder")
     {
         const KeySpan part{ShardKey(100), ShardKey(200)};
-        keeper.onTable(giveRange(makeTable(), part, Other, "token"), Self, Start);
-        cr_assert(keeper.takeDueReleases(Start).empty());
-        cr_assert(keeper.admits(ShardKey(99), Forever, Start));
+        manager.onTable(assignRange(makeTable(), part, Other, "token"), Self, Start);
+        cr_assert(manager.takeDueReleases(Start).empty());
+        cr_assert(manager.admits(ShardKey(99), Forever, Start));
     }
 }
 
-// The release gets no answer: it is sent again, and the range stays where it is until the last
-// grant has run out on the slowest clock. Given on earlier, two backend servers hold its keys.
-Test(range_keeper, a_lost_release_is_outwaited)
+// Guards against two backend servers holding the same keys. The release gets no answer. It is sent
+// again, and the range does not move until the last grant has expired on the slowest possible
+// clock.
+Test(grant_manager, lost_release_delays_the_move_until_expiry)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
-    keeper.beginRelease(KeySpan{});
-    releaseAll(keeper, ControlResult::Unanswered, Start);
-    cr_assert(keeper.releasedRanges(Start + GrantTimes{}.hold).empty());
-    cr_assert(keeper.takeDueReleases(Start + milliseconds(100)).size() == 1);
-    const auto outwaited = keeper.releasedRanges(Start + Lapse);
-    cr_assert(outwaited.size() == 1 && outwaited[0].handover.empty());
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
+    manager.beginRelease(KeySpan{});
+    releaseAll(manager, ControlResult::Unanswered, Start);
+    cr_assert(manager.releasedRanges(Start + GrantTimes{}.hold).empty());
+    cr_assert(manager.takeDueReleases(Start + milliseconds(100)).size() == 1);
+    const auto afterExpiry = manager.releasedRanges(Start + GrantDuration);
+    cr_assert(afterExpiry.size() == 1 && afterExpiry[0].handover.empty());
 }
 
-Test(range_keeper, a_refused_fence_is_not_sent_again)
+Test(grant_manager, refused_fence_is_not_sent_again)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::StaleFence, Start);
-    cr_assert(keeper.takeDueGrants(Forever, Start + milliseconds(5000)).empty());
-    cr_assert(keeper.refusedSpans().size() == 1);
-    SECTION("a higher one is")
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::StaleFence, Start);
+    cr_assert(manager.takeDueGrants(Forever, Start + milliseconds(5000)).empty());
+    cr_assert(manager.refusedSpans().size() == 1);
+    SECTION("a higher fence is sent")
     {
-        const KeySpan own = keeper.refusedSpans().front();
-        keeper.onTable(giveRange(makeTable(), own, Self, {}), Self, Start);
-        cr_assert(keeper.takeDueGrants(Forever, Start).size() == 1);
+        const KeySpan own = manager.refusedSpans().front();
+        manager.onTable(assignRange(makeTable(), own, Self, {}), Self, Start);
+        cr_assert(manager.takeDueGrants(Forever, Start).size() == 1);
     }
 }
 
-// Two backend servers hold the same keys: a node loses its lease, adopts its ranges under a new
-// life and begins to move them, while its backend server holds them by the grants of before. To the
-// keeper they are new ranges that were never granted, and it gave them on at once.
-Test(range_keeper, grants_of_before_the_lease_was_lost_are_outwaited)
+// Guards against two backend servers holding the same keys. A node loses its lease, adopts its
+// ranges under a new incarnation and begins to move them while its backend server holds them by
+// earlier grants. Treated as new ranges without any grant, they moved at once.
+Test(grant_manager, grants_from_before_the_loss_of_the_lease_delay_the_move)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const RangeHolder renewed{Self.node, Incarnation(2), Self.backend};
     const TimePoint lost = Start + milliseconds(100);
-    keeper.onTable(makeTable(), renewed, lost);
-    cr_assert_eq(keeper.size(), 0U);
-    keeper.onTable(adoptRanges(makeTable(), renewed), renewed, lost);
-    keeper.beginRelease({ShardKey(0), ShardKey(100)});
-    cr_assert(keeper.releasedRanges(lost).empty());
-    SECTION("until the last of them has run out on the slowest clock")
+    manager.onTable(makeTable(), renewed, lost);
+    cr_assert_eq(manager.size(), 0U);
+    manager.onTable(adoptRanges(makeTable(), renewed), renewed, lost);
+    manager.beginRelease({ShardKey(0), ShardKey(100)});
+    cr_assert(manager.releasedRanges(lost).empty());
+    SECTION("until the last of them has expired on the slowest possible clock")
     {
-        const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
-        cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
-        cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
+        const TimePoint expiry = GrantManager::expiryOf(GrantTimes{}, GrantTimes{}.hold, Start);
+        cr_assert(manager.releasedRanges(expiry - milliseconds(1)).empty());
+        cr_assert_eq(manager.releasedRanges(expiry).size(), 1U);
     }
-    SECTION("also if the table lists them under another fence from one look to the next")
+    SECTION("also if the next table lists them under another fence")
     {
-        GrantManager refenced = makeKeeper();
+        GrantManager refenced = makeManager();
         grantAll(refenced, ControlResult::Accepted, Start);
-        const RangeTable table = giveRange(makeTable(), {ShardKey(0), ShardKey(32767)}, Self, {});
+        const RangeTable table = assignRange(makeTable(), {ShardKey(0), ShardKey(32767)}, Self, {});
         refenced.onTable(table, Self, lost);
         refenced.beginRelease({ShardKey(0), ShardKey(100)});
         cr_assert(refenced.releasedRanges(lost).empty());
     }
-    SECTION("also where they were granted in an answer to a heartbeat")
+    SECTION("also if they were granted in the reply to a heartbeat")
     {
-        GrantManager other = makeKeeper();
-        (void)other.takeHolds(Start, Forever, Start);
+        GrantManager other = makeManager();
+        (void)other.takeGrantReply(Start, Forever, Start);
         other.onTable(makeTable(), std::nullopt, lost);
         other.onTable(makeTable(), Self, lost);
         other.beginRelease({ShardKey(0), ShardKey(100)});
@@ -222,61 +225,62 @@
     }
 }
 
-// Callers are refused by a backend server that has room: its node grants its many ranges all at the
-// same time, and the connections of these grants leave none for the requests.
-Test(range_keeper, many_ranges_are_granted_a_few_at_a_time)
+// Guards against requests being refused by a backend server that has free slots. Its node grants
+// many ranges at the same time, and the connections of these grants leave none for requests.
+Test(grant_manager, number_of_grants_in_flight_is_limited)
 {
     constexpr size_t Ranges = 30;
     RangeTable table;
     for (uint32_t index = 0; index < Ranges; ++index) {
-        table = giveRange(std::move(table), {ShardKey(index * 100)}, Self, {});
+        table = assignRange(std::move(table), {ShardKey(index * 100)}, Self, {});
     }
     const GrantTimes times;
     const auto makeListing = [&]() {
-        GrantManager keeper(times, NeverTime);
-        keeper.onTable(table, Self, Start);
-        return keeper;
+        GrantManager manager(times, NeverTime);
+        manager.onTable(table, Self, Start);
+        return manager;
     };
-    SECTION("each answer makes room for the next")
+    SECTION("each answer allows the next grant")
     {
-        GrantManager keeper = makeListing();
-        const std::vector<GrantRequest> first = keeper.takeDueGrants(Forever, Start);
-        cr_assert_eq(first.size(), times.openGrants);
-        cr_assert(keeper.takeDueGrants(Forever, Start).empty());
-        keeper.onGrantEnd(first.front(), ControlResult::Accepted);
-        const std::vector<GrantRequest> next = keeper.takeDueGrants(Forever, Start);
+        GrantManager manager = makeListing();
+        const std::vector<GrantRequest> first = manager.takeDueGrants(Forever, Start);
+        cr_assert_eq(first.size(), times.maxGrantsInFlight);
+        cr_assert(manager.takeDueGrants(Forever, Start).empty());
+        manager.onGrantEnd(first.front(), ControlResult::Accepted);
+        const std::vector<GrantRequest> next = manager.takeDueGrants(Forever, Start);
         cr_assert_eq(next.size(), 1U);
         cr_assert(next.front().span.first > first.back().span.first);
     }
-    SECTION("grants that stay without an answer do not keep the others from their turn")
+    SECTION("unanswered grants do not block the others")
     {
-        GrantManager keeper = makeListing();
+        GrantManager manager = makeListing();
         std::set<KeySpan> granted;
         for (int turn = 0; turn < 4; ++turn) {
             const TimePoint now = Start + turn * milliseconds(400);
-            for (const GrantRequest &order : keeper.takeDueGrants(Forever, now)) {
-                granted.insert(order.span);
-                keeper.onGrantEnd(order, ControlResult::Unanswered);
+            for (const GrantRequest &request : manager.takeDueGrants(Forever, now)) {
+                granted.insert(request.span);
+                manager.onGrantEnd(request, ControlResult::Unanswered);
             }
         }
         cr_assert_eq(granted.size(), Ranges);
     }
-    SECTION("one whose connection was refused waits a moment: at once it would be refused as well")
+    SECTION("a refused connection delays the retry, which would be refused again at once")
     {
-        GrantManager keeper = makeListing();
-        const std::vector<GrantRequest> open = keeper.takeDueGrants(Forever, Start);
+        GrantManager manager = makeListing();
+        const std::vector<GrantRequest> open = manager.takeDueGrants(Forever, Start);
         const GrantRequest &first = open.front();
-        for (const GrantRequest &order : open) {
-            const bool refused = order.span == first.span;
-            keeper.onGrantEnd(order, refused ? ControlResult::NotSent : ControlResult::Accepted);
+        for (const GrantRequest &request : open) {
+            const bool refused = request.span == first.span;
+            manager.onGrantEnd(request, refused ? ControlResult::NotSent : ControlResult::Accepted);
         }
         const auto takesAgain = [&](TimePoint now) {
-            const std::vector<GrantRequest> orders = keeper.takeDueGrants(Forever, now);
-            for (const GrantRequest &order : orders) {
-                keeper.onGrantEnd(order, ControlResult::Accepted);
+            const std::vector<GrantRequest> requests = manager.takeDueGrants(Forever, now);
+            for (const GrantRequest &request : requests) {
+                manager.onGrantEnd(request, ControlResult::Accepted);
             }
-            return std::any_of(orders.begin(), orders.end(),
-                               [&](const GrantRequest &order) { return order.span == first.span; });
+            return std::any_of(requests.begin(), requests.end(), [&](const GrantRequest &request) {
+                return request.span == first.span;
+            });
         };
         cr_assert(!takesAgain(Start + milliseconds(50)));
         bool again = false;
@@ -287,115 +291,119 @@
     }
 }
 
-// A backend server still holds keys that another one is given. Its release waits for running work;
-// meanwhile the lease is lost and regained, and the same range is listed anew under its fence. The
-// answer to the old release then comes; it says nothing of what was sent since.
-Test(range_keeper, the_answer_to_a_release_of_before_the_range_was_listed_anew_counts_no_more)
+// Guards against a backend server that still holds keys granted to another one. A release waits
+// for running requests; meanwhile the lease is lost and regained, and the same range is listed
+// again under its fence. The answer to the old release arrives later and does not cover grants
+// sent since then.
+Test(grant_manager, answer_to_a_release_from_before_a_new_listing_is_ignored)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const KeySpan own{ShardKey(0), ShardKey(32767)};
-    keeper.beginRelease(own);
-    const std::vector<ReleaseRequest> old = keeper.takeDueReleases(Start);
+    manager.beginRelease(own);
+    const std::vector<ReleaseRequest> old = manager.takeDueReleases(Start);
     cr_assert_eq(old.size(), 1U);
     const RangeHolder renewed{Self.node, Incarnation(2), Self.backend};
-    keeper.onTable(makeTable(), renewed, Start);
-    keeper.onTable(adoptRanges(makeTable(), renewed), renewed, Start);
+    manager.onTable(makeTable(), renewed, Start);
+    manager.onTable(adoptRanges(makeTable(), renewed), renewed, Start);
     const TimePoint later = Start + milliseconds(100);
-    SECTION("the range goes on leaving: it is not granted anew")
+    SECTION("the release continues, and the range is not granted again")
     {
-        cr_assert(keeper.takeDueGrants(Forever, later).empty());
+        cr_assert(manager.takeDueGrants(Forever, later).empty());
     }
-    SECTION("the old answer releases nothing, neither before its next release nor after")
+    SECTION("the old answer releases nothing, neither before the next release nor after it")
     {
-        keeper.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
-        cr_assert(keeper.releasedRanges(later).empty());
-        const std::vector<ReleaseRequest> next = keeper.takeDueReleases(later);
+        manager.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
+        cr_assert(manager.releasedRanges(later).empty());
+        const std::vector<ReleaseRequest> next = manager.takeDueReleases(later);
         cr_assert_eq(next.size(), 1U);
-        keeper.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
-        cr_assert(keeper.releasedRanges(later).empty());
-        keeper.onReleaseEnd(next.front(), ControlResult::Accepted, "token", later);
-        cr_assert_eq(keeper.releasedRanges(later).size(), 1U);
+        manager.onReleaseEnd(old.front(), ControlResult::Accepted, "token", later);
+        cr_assert(manager.releasedRanges(later).empty());
+        manager.onReleaseEnd(next.front(), ControlResult::Accepted, "token", later);
+        cr_assert_eq(manager.releasedRanges(later).size(), 1U);
     }
 }
 
-// Two backend servers hold the same keys: a grant without an answer is on its way, the keys are
-// released, and the lease is lost before they are given on. Adopted under the next life they looked
-// as if nothing were on its way, went on at once, and the late grant took them up again.
-Test(range_keeper, an_unanswered_grant_outlasts_a_release_that_is_not_listed_any_more)
+// Guards against two backend servers holding the same keys. An unanswered grant is in flight, the
+// keys are released, and the lease is lost before they move. Adopted under the next incarnation,
+// the keys moved at once because no grant seemed to be in flight, and the late grant took them
+// again.
+Test(grant_manager, unanswered_grant_outlasts_a_release_that_is_no_longer_listed)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const TimePoint renewed = Start + milliseconds(1000);
-    grantAll(keeper, ControlResult::Unanswered, renewed);
-    keeper.beginRelease(KeySpan{});
+    grantAll(manager, ControlResult::Unanswered, renewed);
+    manager.beginRelease(KeySpan{});
     const TimePoint released = renewed + milliseconds(300);
-    releaseAll(keeper, ControlResult::Accepted, released);
+    releaseAll(manager, ControlResult::Accepted, released);
     const RangeHolder next{Self.node, Incarnation(2), Self.backend};
-    keeper.onTable(makeTable(), next, released);
-    const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, renewed);
-    SECTION("what was ever granted has not run out before it")
+    manager.onTable(makeTable(), next, released);
+    const TimePoint expiry = GrantManager::expiryOf(GrantTimes{}, GrantTimes{}.hold, renewed);
+    SECTION("the latest expiry of all grants is not before its own")
     {
-        cr_assert(keeper.lastLapse() >= lapse);
+        cr_assert(manager.lastExpiry() >= expiry);
     }
-    SECTION("nor are its keys given on before it")
+    SECTION("its keys do not move before its expiry")
     {
-        keeper.onTable(adoptRanges(makeTable(), next), next, released);
-        keeper.beginRelease(KeySpan{});
-        releaseAll(keeper, ControlResult::Accepted, released);
-        cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
-        cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
+        manager.onTable(adoptRanges(makeTable(), next), next, released);
+        manager.beginRelease(KeySpan{});
+        releaseAll(manager, ControlResult::Accepted, released);
+        cr_assert(manager.releasedRanges(expiry - milliseconds(1)).empty());
+        cr_assert_eq(manager.releasedRanges(expiry).size(), 1U);
     }
 }
 
-// Two backend servers could hold the same keys: a part of a range is listed under another fence, as
-// where a range reaches over two records and one of them is written first. The rest was still
-// listed, so nothing was remembered of the part, and it went on at once while the old grant ran.
-Test(range_keeper, a_part_that_is_not_listed_any_more_is_outwaited)
+// Guards against two backend servers holding the same keys. A part of a range is listed under
+// another fence, as happens if a range spans two records and one of them is written first. Because
+// the rest was still listed, the grant of the part was not remembered, and the part moved at once
+// while the old grant was still valid.
+Test(grant_manager, part_that_is_no_longer_listed_waits_for_expiry)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const KeySpan part{ShardKey(100), ShardKey(200)};
-    keeper.onTable(giveRange(makeTable(), part, Self, {}), Self, Start);
-    keeper.beginRelease(part);
-    const TimePoint lapse = GrantManager::lapseOf(GrantTimes{}, GrantTimes{}.hold, Start);
-    cr_assert(keeper.releasedRanges(lapse - milliseconds(1)).empty());
-    cr_assert_eq(keeper.releasedRanges(lapse).size(), 1U);
+    manager.onTable(assignRange(makeTable(), part, Self, {}), Self, Start);
+    manager.beginRelease(part);
+    const TimePoint expiry = GrantManager::expiryOf(GrantTimes{}, GrantTimes{}.hold, Start);
+    cr_assert(manager.releasedRanges(expiry - milliseconds(1)).empty());
+    cr_assert_eq(manager.releasedRanges(expiry).size(), 1U);
 }
 
-// Two backend servers hold the same keys: a released range is written to another holder, and before
-// that write is done its own backend server is taken for gone for a moment. Back again, the table
-// as it is known still names it, so it was granted the range anew; then the write was done. What
-// was leaving under a fence goes on leaving under it.
-Test(range_keeper, a_range_goes_on_leaving_after_its_holder_was_unknown)
+// Guards against two backend servers holding the same keys. A released range is assigned to
+// another holder, and before that write is applied, its own backend server is considered gone for
+// a moment. When it was back, the known table still named it, so it was granted the range again;
+// then the write was applied. A range that is being released under a fence must stay so under that
+// fence.
+Test(grant_manager, release_continues_after_its_holder_was_unknown)
 {
-    GrantManager keeper = makeKeeper();
-    grantAll(keeper, ControlResult::Accepted, Start);
+    GrantManager manager = makeManager();
+    grantAll(manager, ControlResult::Accepted, Start);
     const KeySpan part{ShardKey(0), ShardKey(100)};
-    keeper.beginRelease(part);
-    releaseAll(keeper, ControlResult::Accepted, Start);
-    keeper.onTable(makeTable(), std::nullopt, Start);
-    cr_assert_eq(keeper.size(), 0U);
+    manager.beginRelease(part);
+    releaseAll(manager, ControlResult::Accepted, Start);
+    manager.onTable(makeTable(), std::nullopt, Start);
+    cr_assert_eq(manager.size(), 0U);
     const TimePoint back = Start + milliseconds(10);
-    keeper.onTable(makeTable(), Self, back);
-    SECTION("it is not granted, and may be given on with its token as before")
+    manager.onTable(makeTable(), Self, back);
+    SECTION("it is not granted, and may move with its token as before")
     {
-        const auto orders = keeper.takeDueGrants(Forever, back);
-        cr_assert(orders.size() == 1 && !orders.front().span.overlaps(part));
-        cr_assert(keeper.isLeaving(ShardKey(5)));
-        const auto released = keeper.releasedRanges(back);
+        const auto requests = manager.takeDueGrants(Forever, back);
+        cr_assert(requests.size() == 1 && !requests.front().span.overlaps(part));
+        cr_assert(manager.isLeaving(ShardKey(5)));
+        const auto released = manager.releasedRanges(back);
         cr_assert(released.size() == 1 && released.front().span == part);
         cr_assert(released.front().handover == "token");
     }
-    SECTION("nor in the answer to a heartbeat")
+    SECTION("it is not granted in the reply to a heartbeat either")
     {
-        const std::optional<GrantReply> order = keeper.takeHolds(back, Forever, back);
-        cr_assert(order && order->rows.size() == 1 && !order->rows.front().span.overlaps(part));
+        const std::optional<GrantReply> reply = manager.takeGrantReply(back, Forever, back);
+        cr_assert(reply && reply->rows.size() == 1 && !reply->rows.front().span.overlaps(part));
     }
     SECTION("under a later fence it is a new range")
     {
-        keeper.onTable(giveRange(makeTable(), part, Self, {}), Self, back);
-        cr_assert(!keeper.isLeaving(ShardKey(5)));
-        cr_assert(keeper.releasedRanges(back).empty());
+        manager.onTable(assignRange(makeTable(), part, Self, {}), Self, back);
+        cr_assert(!manager.isLeaving(ShardKey(5)));
+        cr_assert(manager.releasedRanges(back).empty());
     }
 }
--- a/test/unit/range/ownership_exchange.cpp
+++ b/test/unit/range/ownership_exchange.cpp
@@ -1,5 +1,5 @@
-/** @file ownership_exchange.cpp What is lost, late, doubled or refused between nodes and their
- * backend servers. */
+/** @file ownership_exchange.cpp Messages between nodes and their backend servers that are lost,
+ * late, duplicated or refused. */
 
 #include "support/ownership_node.h"
 #include "support/ownership_world.h"
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** A grant without an answer may be carried out so much later. */
+/** Maximum delay with which an unanswered grant is applied. */
 constexpr int64_t LateGrantMs = 3000;
 constexpr int64_t LateHeartbeatMs = 3000;
-/** Where heartbeats do not wait for answers, one in so many is late. */
+/** Where heartbeats do not wait for replies, one in this many is late. */
 constexpr uint64_t LateHeartbeats = 6;
 
 } // namespace
@@ -19,11 +19,11 @@
 void OwnershipWorld::startBackend(size_t index, bool keepsId)
 {
     const uint64_t life = ++lives_[index];
-    ended_[index] = 0;
+    lastEndedHeartbeats_[index] = 0;
     const std::string id = "b" + std::to_string(index + 1);
     backends_[index].start(keepsId ? BackendIncarnation(id, life)
                                    : BackendIncarnation(id + "-" + std::to_string(life), life));
-    tell("backend server starts as " + backends_[index].life().text(), index);
+    trace("backend server starts as " + backends_[index].life().text(), index);
     heartbeat(index, life);
 }
 
@@ -32,26 +32,26 @@
     if (!backends_[index].isAlive()) {
         return;
     }
-    tell("backend server crashes", index);
+    trace("backend server crashes", index);
     backends_[index].crash();
     ++lives_[index];
-    const bool keepsId = dice_.oneIn(2);
-    agenda_.after(dice_.between(20, 1500),
+    const bool keepsId = draws_.oneIn(2);
+    events_.after(draws_.between(20, 1500),
                   [this, index, keepsId]() { startBackend(index, keepsId); });
 }
 
-/** Sends a heartbeat of life @p life, and gives it up a second later. */
+/** Sends a heartbeat of incarnation @p life, and gives up on it one second later. */
 void OwnershipWorld::heartbeat(size_t index, uint64_t life)
 {
     if (lives_[index] != life) {
         return;
     }
     if (isPaused(index)) {
-        agenda_.at(links_[index].pausedUntil, [this, index, life]() { heartbeat(index, life); });
+        events_.at(links_[index].pausedUntil, [this, index, life]() { heartbeat(index, life); });
         return;
     }
-    ModelBackend &backend = backends_[index];
-    const TimePoint sentAt = agenda_.now();
+    SimulatedBackend &backend = backends_[index];
+    const TimePoint sentAt = events_.now();
     BackendReport report;
     report.backend = backend.life();
     report.service = Service;
@@ -61,31 +61,35 @@
     if (settings_.form == GrantDelivery::Heartbeat) {
         report.holding = holding;
     }
-    if (!isTroubled()) {
-        const bool isLate = !calm_ && dice_.oneIn(isPeriodic_ ? LateHeartbeats : trouble_);
-        const milliseconds delay = isLate ? dice_.between(1, LateHeartbeatMs) : drawDelay();
-        agenda_.after(delay, [this, index, life, report, sentAt]() {
+    if (!isFaulty()) {
+        const bool isLate
+                = !faultsEnded_ && draws_.oneIn(isPeriodic_ ? LateHeartbeats : faultOdds_);
+        const milliseconds delay = isLate ? draws_.between(1, LateHeartbeatMs) : drawDelay();
+        events_.after(delay, [this, index, life, report, sentAt]() {
             deliverReport(index, life, report, sentAt);
         });
     }
     const auto end
             = [this, index, life, number = report.sequence]() { endExchange(index, life, number); };
-    agenda_.after(ModelBackend::AnswerBound, end);
-    if (isPeriodic_ && dice_.oneIn(2)) {
-        agenda_.after(dice_.between(300, 999), end);
+    events_.after(SimulatedBackend::AnswerBound, end);
+    if (isPeriodic_ && draws_.oneIn(2)) {
+        events_.after(draws_.between(300, 999), end);
     }
 }
 
-/** The next heartbeat follows the answer to the last, its giving up, or the pause between two. */
+/**
+ * The next heartbeat follows the reply to the last one, giving up on it, or the interval between
+ * two heartbeats.
+ */
 void OwnershipWorld::endExchange(size_t index, uint64_t life, uint64_t number)
 {
-    if (lives_[index] != life || ended_[index] >= number) {
+    if (lives_[index] != life || lastEndedHeartbeats_[index] >= number) {
         return;
     }
-    ended_[index] = number;
-    const milliseconds pause = backends_[index].isReleasing(agenda_.now()) ? dice_.between(1, 100)
-                                                                           : dice_.between(1, 500);
-    agenda_.after(pause, [this, index, life]() { heartbeat(index, life); });
+    lastEndedHeartbeats_[index] = number;
+    const milliseconds pause = backends_[index].isReleasing(events_.now()) ? draws_.between(1, 100)
+                                                                           : draws_.between(1, 500);
+    events_.after(pause, [this, index, life]() { heartbeat(index, life); });
 }
 
 void OwnershipWorld::deliverReport(size_t index, uint64_t life, const BackendReport &report,
@@ -95,117 +99,121 @@
         return;
     }
     const uint64_t number = report.sequence;
-    tellReport(report, sentAt, index);
+    traceReport(report, sentAt, index);
     nodes_[index]->onReport(
-            report, [this, index, life, number, sentAt](const std::optional<GrantReply> &order) {
-                const uint64_t copies = isTroubled() ? dice_.below(3) : 1; // None: lost or cut.
+            report, [this, index, life, number, sentAt](const std::optional<GrantReply> &reply) {
+                const uint64_t copies = isFaulty() ? draws_.below(3) : 1; // 0: lost or cut off.
                 for (uint64_t copy = 0; copy < copies; ++copy) {
-                    agenda_.after(drawDelay(), [this, index, life, number, order, sentAt]() {
-                        readAnswer(index, life, number, order, sentAt);
+                    events_.after(drawDelay(), [this, index, life, number, reply, sentAt]() {
+                        readAnswer(index, life, number, reply, sentAt);
                     });
                 }
             });
 }
 
-void OwnershipWorld::tellReport(const BackendReport &report, TimePoint sentAt, size_t index) const
+void OwnershipWorld::traceReport(const BackendReport &report, TimePoint sentAt, size_t index) const
 {
-    if (!settings_.tell || !report.holding) {
+    if (!settings_.trace || !report.holding) {
         return;
     }
-    std::string text
-            = "gets heartbeat " + std::to_string(report.sequence) + " sent at " + timeText(sentAt);
+    std::string text = "receives heartbeat " + std::to_string(report.sequence) + " sent at "
+                       + timeText(sentAt);
     for (const HeldKeys &row : report.holding->holds) {
         text += ", holds " + spanText(row.span) + " fence " + std::to_string(row.fence.value());
     }
     for (const ReleasedKeys &row : report.holding->released) {
         text += ", released " + spanText(row.span);
     }
-    tell(text, index);
+    trace(text, index);
 }
 
 void OwnershipWorld::readAnswer(size_t index, uint64_t life, uint64_t number,
-                                const std::optional<GrantReply> &order, TimePoint sentAt)
+                                const std::optional<GrantReply> &reply, TimePoint sentAt)
 {
     if (lives_[index] != life) {
         return;
     }
     if (isPaused(index)) {
-        agenda_.at(links_[index].pausedUntil, [this, index, life, number, order, sentAt]() {
-            readAnswer(index, life, number, order, sentAt);
+        events_.at(links_[index].pausedUntil, [this, index, life, number, reply, sentAt]() {
+            readAnswer(index, life, number, reply, sentAt);
         });
         return;
     }
-    if (order && settings_.tell) {
+    if (reply && settings_.trace) {
         std::string rows;
-        for (const GrantedKeys &row : order->rows) {
+        for (const GrantedKeys &row : reply->rows) {
             rows += " " + spanText(row.span) + " fence " + std::to_string(row.fence.value());
         }
-        tell("reads an answer to heartbeat " + std::to_string(number) + " sent at "
-                     + timeText(sentAt) + ":" + rows,
-             index);
+        trace("reads reply to heartbeat " + std::to_string(number) + " sent at " + timeText(sentAt)
+                      + ":" + rows,
+              index);
     }
-    backends_[index].takeAnswer(number, order, sentAt, agenda_.now());
+    backends_[index].takeAnswer(number, reply, sentAt, events_.now());
     checkTaken(index);
     endExchange(index, life, number);
 }
 
-/** One without an answer may be carried out seconds later, and more than once. */
-void OwnershipWorld::sendGrant(size_t index, const GrantRequest &order, milliseconds timeout,
+/** An unanswered grant may be applied seconds later, and more than once. */
+void OwnershipWorld::sendGrant(size_t index, const GrantRequest &request, milliseconds timeout,
                                const OrderDone &done)
 {
     if (refuses(index)) {
-        agenda_.after(dice_.between(1, 3), [done]() { done({ControlResult::NotSent, {}}); });
+        events_.after(draws_.between(1, 3), [done]() { done({ControlResult::NotSent, {}}); });
         return;
     }
-    const bool isTroubled = this->isTroubled();
-    const uint64_t copies = isTroubled ? dice_.below(3) : 1;
+    const bool isFaulty = this->isFaulty();
+    const uint64_t copies = isFaulty ? draws_.below(3) : 1;
     const uint64_t life = lives_[index];
     for (uint64_t copy = 0; copy < copies; ++copy) {
-        agenda_.after(dice_.between(1, 5), [this, index, life, order, done, isTroubled]() {
-            const TimePoint arrivedAt = agenda_.now();
+        events_.after(draws_.between(1, 5), [this, index, life, request, done, isFaulty]() {
+            const TimePoint arrivedAt = events_.now();
             const milliseconds wait
-                    = isTroubled ? dice_.between(0, LateGrantMs) : dice_.between(0, 5);
-            agenda_.after(wait, [this, index, life, order, done, isTroubled, arrivedAt]() {
+                    = isFaulty ? draws_.between(0, LateGrantMs) : draws_.between(0, 5);
+            events_.after(wait, [this, index, life, request, done, isFaulty, arrivedAt]() {
                 if (lives_[index] == life) {
                     const OrderDone ignored = [](const ControlReply &) {};
-                    carryOutGrant(index, order, arrivedAt, isTroubled ? ignored : done);
+                    carryOutGrant(index, request, arrivedAt, isFaulty ? ignored : done);
                 }
             });
         });
     }
-    agenda_.after(timeout, [done]() { done(ControlReply{}); });
+    events_.after(timeout, [done]() { done(ControlReply{}); });
 }
 
-void OwnershipWorld::carryOutGrant(size_t index, const GrantRequest &order, TimePoint arrivedAt,
+void OwnershipWorld::carryOutGrant(size_t index, const GrantRequest &request, TimePoint arrivedAt,
                                    const OrderDone &done)
 {
-    tell("takes up the call for " + spanText(order.span) + " under fence "
-                 + std::to_string(order.fence.value()),
-         index);
-    const bool taken
-            = backends_[index].grant(order.span, order.fence, order.hold, arrivedAt, agenda_.now());
+    trace("applies the grant for " + spanText(request.span) + " under fence "
+                  + std::to_string(request.fence.value()),
+          index);
+    const bool taken = backends_[index].grant(request.span, request.fence, request.hold, arrivedAt,
+                                              events_.now());
     checkTaken(index);
     done({taken ? ControlResult::Accepted : ControlResult::StaleFence, {}});
 }
 
-/** Answered when the running work has ended, unless that takes too long. */
-void OwnershipWorld::sendRelease(size_t index, const ReleaseRequest &order, milliseconds timeout,
+/**
+ * Sends a release. It is answered when the running requests have ended, and counts as unanswered
+ * after @p timeout.
+ */
+void OwnershipWorld::sendRelease(size_t index, const ReleaseRequest &request, milliseconds timeout,
                                  const OrderDone &done)
 {
-    tell("release sent for " + spanText(order.span), index);
-    agenda_.after(timeout, [done]() { done(ControlReply{}); });
-    if (refuses(index) || isTroubled()) {
+    trace("sends release for " + spanText(request.span), index);
+    events_.after(timeout, [done]() { done(ControlReply{}); });
+    if (refuses(index) || isFaulty()) {
         return;
     }
-    agenda_.after(dice_.between(1, 5), [this, index, life = lives_[index], order, done]() {
+    events_.after(draws_.between(1, 5), [this, index, life = lives_[index], request, done]() {
         if (lives_[index] != life) {
             return;
         }
-        const TimePoint ended = backends_[index].release(order.span, order.fence, agenda_.now());
-        if (isTroubled()) {
+        const TimePoint ended
+                = backends_[index].release(request.span, request.fence, events_.now());
+        if (isFaulty()) {
             return;
         }
-        agenda_.at(ended, [this, index, life, done]() {
+        events_.at(ended, [this, index, life, done]() {
             if (lives_[index] == life) {
                 done({ControlResult::Accepted, "token"});
             }
--- a/test/unit/range/ownership_faults.cpp
+++ b/test/unit/range/ownership_faults.cpp
@@ -1,4 +1,5 @@
-/** @file ownership_faults.cpp Which keys are busy, who crashes, stands still or is cut off. */
+/** @file ownership_faults.cpp Load on the keys, and faults of nodes, backend servers, VMs and
+ * links. */
 
 #include "support/ownership_node.h"
 #include "support/ownership_world.h"
@@ -7,49 +8,49 @@
 
 namespace {
 
-/** Longer than a takeover takes. */
+/** Longer than a takeover. */
 constexpr int64_t LongCutMs = 8000;
 constexpr int64_t LongCrashMs = 5000;
-/** Longer than a grant lasts. */
+/** Longer than the hold time of a grant. */
 constexpr int64_t LongPauseMs = 6000;
 constexpr milliseconds WorkEvery{40};
 
 } // namespace
 
-/** Requests for keys that the nodes admit; for a while most of them are about one key. */
-void OwnershipWorld::drawWork()
+/** Sends requests for keys that the nodes admit; for a while most of them are for one key. */
+void OwnershipWorld::sendRequests()
 {
-    if (dice_.oneIn(100)) {
-        hotKey_ = ShardKey(static_cast<uint32_t>(dice_.below(LastShardKey.value() + 1)));
+    if (draws_.oneIn(100)) {
+        hotKey_ = ShardKey(static_cast<uint32_t>(draws_.below(LastShardKey.value() + 1)));
     }
     for (size_t index = 0; index < NodeCount; ++index) {
-        const ShardKey any(static_cast<uint32_t>(dice_.below(LastShardKey.value() + 1)));
-        const ShardKey key = dice_.oneIn(2) ? any : hotKey_;
+        const ShardKey any(static_cast<uint32_t>(draws_.below(LastShardKey.value() + 1)));
+        const ShardKey key = draws_.oneIn(2) ? any : hotKey_;
         if (!nodes_[index] || isPaused(index) || !nodes_[index]->admits(key)) {
             continue;
         }
-        const milliseconds busy = dice_.between(20, 1500);
-        if (backends_[index].work(key, busy, agenda_.now())) {
+        const milliseconds busy = draws_.between(20, 1500);
+        if (backends_[index].work(key, busy, events_.now())) {
             nodes_[index]->recordBusyTime(key, busy);
         }
     }
-    agenda_.after(WorkEvery, [this]() { drawWork(); });
+    events_.after(WorkEvery, [this]() { sendRequests(); });
 }
 
-void OwnershipWorld::planFault()
+void OwnershipWorld::scheduleFault()
 {
-    agenda_.after(dice_.between(50, 2500), [this]() {
-        if (!calm_) {
-            breakSomething();
-            planFault();
+    events_.after(draws_.between(50, 2500), [this]() {
+        if (!faultsEnded_) {
+            injectFault();
+            scheduleFault();
         }
     });
 }
 
-void OwnershipWorld::breakSomething()
+void OwnershipWorld::injectFault()
 {
-    const size_t index = dice_.below(NodeCount);
-    switch (dice_.below(10)) {
+    const size_t index = draws_.below(NodeCount);
+    switch (draws_.below(10)) {
     case 0:
     case 1:
         crashNode(index);
@@ -62,8 +63,8 @@
         break;
     case 4:
     case 5:
-        tell("node cut off from the others", index);
-        links_[index].cutUntil = agenda_.now() + dice_.between(500, LongCutMs);
+        trace("node cut off from the others", index);
+        links_[index].cutUntil = events_.now() + draws_.between(500, LongCutMs);
         break;
     case 6:
         pause(index);
@@ -76,36 +77,36 @@
     }
 }
 
-/** The VM stands still: neither the node nor its backend server does anything. */
+/** Pauses the VM: neither the node nor its backend server runs. */
 void OwnershipWorld::pause(size_t index)
 {
-    tell("VM stands still", index);
-    links_[index].pausedUntil = agenda_.now() + dice_.between(50, LongPauseMs);
-    agenda_.at(links_[index].pausedUntil, [this, index]() { tell("VM goes on", index); });
+    trace("VM is paused", index);
+    links_[index].pausedUntil = events_.now() + draws_.between(50, LongPauseMs);
+    events_.at(links_[index].pausedUntil, [this, index]() { trace("VM resumes", index); });
 }
 
-/** The backend server says that it leaves for good, and ends a while later. */
+/** The backend server announces that it leaves permanently, and ends some time later. */
 void OwnershipWorld::leave(size_t index)
 {
     if (!backends_[index].isAlive() || !nodes_[index]) {
         return;
     }
-    tell("backend server leaves", index);
+    trace("backend server leaves", index);
     nodes_[index]->onDeregister();
-    agenda_.after(dice_.between(500, 3000), [this, index, life = lives_[index]]() {
+    events_.after(draws_.between(500, 3000), [this, index, life = lives_[index]]() {
         if (lives_[index] == life) {
             crashBackend(index);
         }
     });
 }
 
-/** It lives all the while; some calls and looks find out that it refuses. */
+/** The backend server keeps running; some calls and checks detect that it refuses connections. */
 void OwnershipWorld::refuseConnections(size_t index)
 {
-    tell("backend server refuses connections", index);
-    links_[index].refusesUntil = agenda_.now() + dice_.between(5, 60);
+    trace("backend server refuses connections", index);
+    links_[index].refusesUntil = events_.now() + draws_.between(5, 60);
     for (int look = 0; look < 3; ++look) {
-        agenda_.after(dice_.between(1, 100), [this, index]() {
+        events_.after(draws_.between(1, 100), [this, index]() {
             if (nodes_[index]) {
                 nodes_[index]->onLook();
             }
@@ -118,21 +119,21 @@
     if (!nodes_[index]) {
         return;
     }
-    tell("node crashes", index);
+    trace("node crashes", index);
     nodes_[index].reset();
     ++nodeLives_[index];
-    agenda_.after(dice_.between(100, LongCrashMs), [this, index]() { startNode(index); });
+    events_.after(draws_.between(100, LongCrashMs), [this, index]() { startNode(index); });
 }
 
-/** The node gives its keys away and ends; a new one starts. */
+/** The node moves its keys to others and ends; a new one starts. */
 void OwnershipWorld::stopNode(size_t index)
 {
     if (!nodes_[index]) {
         return;
     }
-    tell("node is told to stop", index);
+    trace("node is asked to stop", index);
     nodes_[index]->beginStop();
-    agenda_.after(dice_.between(1000, LongCrashMs), [this, index, life = nodeLives_[index]]() {
+    events_.after(draws_.between(1000, LongCrashMs), [this, index, life = nodeLives_[index]]() {
         if (nodeLives_[index] == life) {
             crashNode(index);
         }
--- a/test/unit/range/ownership_node.cpp
+++ b/test/unit/range/ownership_node.cpp
@@ -1,4 +1,4 @@
-/** @file ownership_node.cpp The product's duty of the keys over simulated ports. */
+/** @file ownership_node.cpp The RangeController of the product over simulated ports. */
 
 #include "support/ownership_node.h"
 
@@ -12,41 +12,42 @@
 
 namespace {
 
-/** How often the node looks at a backend server that is silent or refuses connections. */
+/** How often the node checks a backend server that is silent or refuses connections. */
 constexpr milliseconds LookEvery{250};
-/** A backend server that was not heard of for so long is taken for down. */
+/** A backend server that has not been heard from for this long is considered down. */
 constexpr milliseconds SilentAfter{3000};
 constexpr milliseconds ProbeTimeout{300};
 constexpr std::string_view ProbePath = "/probe";
 
-/** What a call to the world has brought; the coroutine that waits for it holds it alone. */
+/** The outcome of a call to the world, owned by the coroutine that waits for it. */
 template <typename Value>
 class Outcome
 {
 public:
-    Outcome(asio::io_context &context, Value unless) : signal_(context), value_(std::move(unless))
+    Outcome(asio::io_context &context, Value fallback)
+        : event_(context), value_(std::move(fallback))
     { }
 
     void set(Value value)
     {
         value_ = std::move(value);
-        signal_.raise();
+        event_.trigger();
     }
 
     asio::awaitable<Value> wait()
     {
-        co_await signal_.wait();
+        co_await event_.wait();
         co_return std::move(value_);
     }
 
 private:
-    Signal signal_;
+    OneShotEvent event_;
     Value value_;
 };
 
-/** @return A function that brings @p outcome about, if somebody still waits for it. */
+/** @return A function that sets @p outcome if a coroutine still waits for it. */
 template <typename Value>
-auto bringing(const std::shared_ptr<Outcome<Value>> &outcome)
+auto setterOf(const std::shared_ptr<Outcome<Value>> &outcome)
 {
     return [weak = std::weak_ptr<Outcome<Value>>(outcome)](Value value) {
         if (const auto waited = weak.lock()) {
@@ -57,7 +58,7 @@
 
 } // namespace
 
-/** The store as this node reaches it. */
+/** The store as seen by this node. */
 class SimulatedNode::Store final : public RecordStore
 {
 public:
@@ -74,7 +75,7 @@
     {
         const auto outcome = std::make_shared<Outcome<Result<StoredRecord>>>(
                 node_.context_, Failure{FailureCode::DeadlineExceeded, name});
-        node_.world_.read(node_.index_, kind, name, bringing(outcome));
+        node_.world_.read(node_.index_, kind, name, setterOf(outcome));
         co_return co_await outcome->wait();
     }
 
@@ -89,43 +90,43 @@
         const auto outcome = std::make_shared<Outcome<Result<StoreRevision>>>(
                 node_.context_, Failure{FailureCode::Ambiguous, name});
         node_.world_.write(node_.index_, kind, {name, expected, std::move(content)},
-                           bringing(outcome));
+                           setterOf(outcome));
         co_return co_await outcome->wait();
     }
 
 private:
-    static Failure unused() { return {FailureCode::Unavailable, "not part of this world"}; }
+    static Failure unused() { return {FailureCode::Unavailable, "not simulated"}; }
 
     SimulatedNode &node_;
 };
 
-/** Orders to the backend server beside the node. */
-class SimulatedNode::Orders final : public BackendControl
+/** Calls to the backend server of the node. */
+class SimulatedNode::ControlCalls final : public BackendControl
 {
 public:
-    explicit Orders(SimulatedNode &node) : node_(node) { }
+    explicit ControlCalls(SimulatedNode &node) : node_(node) { }
 
-    asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds timeout) override
+    asio::awaitable<ControlReply> grant(GrantRequest request, milliseconds timeout) override
     {
-        // The connection opens late, or the process stands still meanwhile.
+        // Opening the connection takes long, or the process is paused meanwhile.
         const std::unique_ptr<WakeTimer> opening = node_.timers_.make();
         co_await opening->wait(node_.world_.drawConnectTime());
-        if (node_.clock_.now() > order.sendBy) {
+        if (node_.clock_.now() > request.sendBy) {
             ControlReply late;
             late.result = ControlResult::TooLate;
             co_return late;
         }
         const auto outcome
                 = std::make_shared<Outcome<ControlReply>>(node_.context_, ControlReply{});
-        node_.world_.sendGrant(node_.index_, order, timeout, bringing(outcome));
+        node_.world_.sendGrant(node_.index_, request, timeout, setterOf(outcome));
         co_return co_await outcome->wait();
     }
 
-    asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds timeout) override
+    asio::awaitable<ControlReply> release(ReleaseRequest request, milliseconds timeout) override
     {
         const auto outcome
                 = std::make_shared<Outcome<ControlReply>>(node_.context_, ControlReply{});
-        node_.world_.sendRelease(node_.index_, order, timeout, bringing(outcome));
+        node_.world_.sendRelease(node_.index_, request, timeout, setterOf(outcome));
         co_return co_await outcome->wait();
     }
 
@@ -143,7 +144,7 @@
 
     void serve(const std::string &path, Answer answer) override
     {
-        answers_[path] = std::move(answer);
+        handlers_[path] = std::move(answer);
     }
 
     asio::awaitable<Result<std::string>> call(const MemberRecord &member, std::string_view path,
@@ -152,25 +153,25 @@
         const auto outcome = std::make_shared<Outcome<Result<std::string>>>(
                 node_.context_, Failure{FailureCode::DeadlineExceeded, member.name});
         node_.world_.sendPeerCall(node_.index_, member.node, std::string(path), std::move(body),
-                                  timeout, bringing(outcome));
+                                  timeout, setterOf(outcome));
         co_return co_await outcome->wait();
     }
 
     Answer *find(const std::string &path)
     {
-        const auto found = answers_.find(path);
-        return found == answers_.end() ? nullptr : &found->second;
+        const auto found = handlers_.find(path);
+        return found == handlers_.end() ? nullptr : &found->second;
     }
 
 private:
     SimulatedNode &node_;
-    std::map<std::string, Answer> answers_;
+    std::map<std::string, Answer> handlers_;
 };
 
 SimulatedNode::SimulatedNode(OwnershipWorld &world, size_t index, double clockRate)
-    : world_(world), index_(index), clock_(world.agenda_, clockRate),
-      timers_(context_, world.agenda_, clock_), random_(world.dice_.below(UINT32_MAX)),
-      store_(std::make_unique<Store>(*this)), orders_(std::make_unique<Orders>(*this)),
+    : world_(world), index_(index), clock_(world.events_, clockRate),
+      timers_(context_, world.events_, clock_), random_(world.draws_.below(UINT32_MAX)),
+      store_(std::make_unique<Store>(*this)), controlCalls_(std::make_unique<ControlCalls>(*this)),
       peers_(std::make_unique<Peers>(*this)), alive_(std::make_shared<SimulatedNode *>(this))
 {
     self_.node = NodeId(index + 1);
@@ -178,11 +179,13 @@
     self_.service = OwnershipWorld::Service;
     self_.slots = OwnershipWorld::Slots;
     self_.failureDomain = "d" + std::to_string(index + 1);
-    const RangeDutyPorts ports{context_, clock_, timers_, random_, *store_, *orders_, *peers_};
-    duty_ = std::make_unique<RangeController>(ports, view_, monitor_, loads_, self_, GrantTimes{});
+    const RangeControllerPorts ports{context_, clock_,         timers_, random_,
+                                     *store_,  *controlCalls_, *peers_};
+    controller_ = std::make_unique<RangeController>(ports, view_, monitor_, loads_, self_,
+                                                    GrantTimes{});
     monitor_.setBusyCheck(
-            [this]() { return world_.backends_[index_].isWorking(world_.agenda_.now()); });
-    duty_->setPeerProbe([this](const MemberRecord &member) { return probe(member); });
+            [this]() { return world_.backends_[index_].isWorking(world_.events_.now()); });
+    controller_->setPeerProbe([this](const MemberRecord &member) { return probe(member); });
     peers_->serve(std::string(ProbePath),
                   [this](std::string body) { return answerProbe(std::move(body)); });
 }
@@ -191,8 +194,8 @@
 
 void SimulatedNode::start()
 {
-    duty_->start();
-    lookAround();
+    controller_->start();
+    checkBackend();
 }
 
 void SimulatedNode::run()
@@ -216,7 +219,7 @@
 {
     post([this, record]() {
         view_.onRangeRecord(record);
-        duty_->wake();
+        controller_->wake();
     });
 }
 
@@ -237,14 +240,14 @@
     const TimePoint receivedAt = clock_.now();
     const bool changed = monitor_.onReport(report, receivedAt);
     if (changed) {
-        duty_->wake();
+        controller_->wake();
     }
-    std::optional<GrantReply> order;
-    if (report.holding && monitor_.isNewest(report) && duty_->grantsByHeartbeat()) {
+    std::optional<GrantReply> reply;
+    if (report.holding && monitor_.isNewest(report) && controller_->grantsByHeartbeat()) {
         const bool atOnce = changed || monitor_.state() != BackendState::Ready;
-        order = co_await duty_->handleHeartbeat(*report.holding, atOnce, receivedAt);
+        reply = co_await controller_->handleHeartbeat(*report.holding, atOnce, receivedAt);
     }
-    answer(order);
+    answer(reply);
 }
 
 void SimulatedNode::onPeerCall(const std::string &path, const std::string &body,
@@ -273,7 +276,7 @@
         } else {
             (void)monitor_.onAnswer(clock_.now());
         }
-        duty_->wake();
+        controller_->wake();
     });
 }
 
@@ -281,29 +284,29 @@
 {
     post([this]() {
         (void)monitor_.onDeregister(world_.backends_[index_].life());
-        duty_->wake();
+        controller_->wake();
     });
 }
 
 void SimulatedNode::beginStop()
 {
-    post([this]() { duty_->beginStop(); });
+    post([this]() { controller_->beginStop(); });
 }
 
-/** Looks at a backend server that refuses connections until it answers; notes a silent one. */
-void SimulatedNode::lookAround()
+/** Checks a backend server that refuses connections until it answers, and detects a silent one. */
+void SimulatedNode::checkBackend()
 {
     if (monitor_.refusesConnections()) {
         onLook();
     }
     post([this]() {
         if (clock_.now() - monitor_.heardAt() > SilentAfter && monitor_.onNoResponse()) {
-            duty_->wake();
+            controller_->wake();
         }
     });
-    world_.agenda_.after(LookEvery, [weak = std::weak_ptr<SimulatedNode *>(alive_)]() {
+    world_.events_.after(LookEvery, [weak = std::weak_ptr<SimulatedNode *>(alive_)]() {
         if (const auto node = weak.lock()) {
-            (*node)->lookAround();
+            (*node)->checkBackend();
         }
     });
 }
@@ -311,7 +314,7 @@
 MemberRecord SimulatedNode::published() const
 {
     MemberRecord member = self_;
-    member.life = duty_->session();
+    member.life = controller_->session();
     member.backend = monitor_.backend();
     member.state = monitor_.state();
     return member;
@@ -319,12 +322,12 @@
 
 bool SimulatedNode::admits(ShardKey key) const
 {
-    return duty_->check(key, clock_.now()) == RequestEnd::None;
+    return controller_->check(key, clock_.now()) == RequestEnd::None;
 }
 
 void SimulatedNode::recordBusyTime(ShardKey key, Duration busy)
 {
-    duty_->recordBusyTime(key, busy, clock_.now());
+    controller_->recordBusyTime(key, busy, clock_.now());
 }
 
 asio::awaitable<bool> SimulatedNode::probe(MemberRecord member)
@@ -341,8 +344,8 @@
 {
     v1::HopReply reply;
     reply.mutable_load()->set_slots(OwnershipWorld::Slots);
-    reply.mutable_load()->set_busy_slots(duty_->demand(clock_.now()));
-    reply.mutable_load()->set_leaving(duty_->isLeaving());
+    reply.mutable_load()->set_busy_slots(controller_->demand(clock_.now()));
+    reply.mutable_load()->set_leaving(controller_->isLeaving());
     co_return reply.SerializeAsString();
 }
 
--- a/test/unit/range/ownership_sequence_test.cpp
+++ b/test/unit/range/ownership_sequence_test.cpp
@@ -1,5 +1,5 @@
-/** @file ownership_sequence_test.cpp Random sequences of faults over several nodes: no key is held
- * twice. */
+/** @file ownership_sequence_test.cpp Random sequences of faults over several nodes: no two backend
+ * servers hold the same key. */
 
 #include "support/ownership_world.h"
 #include "support/test_section.h"
@@ -11,17 +11,19 @@
 
 namespace {
 
-/** Of the simulated clock, under faults: a takeover takes 2.75 s, what was sent late comes within
- *  3 s, and a holder moves keys for their load every 3 s. */
+/**
+ * Simulated time under faults. A takeover takes 2.75 s, a late message arrives within 3 s, and a
+ * holder moves keys because of their load every 3 s.
+ */
 constexpr std::chrono::seconds Span{16};
-/** The platform's bound for a service to be back after the last fault. */
+/** The platform's limit for the recovery of a service after the last fault. */
 constexpr std::chrono::seconds RecoveryBound{15};
 constexpr uint64_t Seeds = 100;
-/** Blocks of keys, so that one move takes several writes. */
+/** Number of blocks, so that one move takes several writes. */
 constexpr uint32_t SeveralRecords = 8;
 
-/** What a run of seeds showed. */
-struct Verdict {
+/** Results of a run over all seeds. */
+struct SeedResults {
     std::vector<uint64_t> failed;
     uint64_t handovers = 0;
     uint64_t takeovers = 0;
@@ -35,7 +37,7 @@
     return settings;
 }
 
-bool passes(uint64_t seed, const WorldSettings &settings, Verdict &verdict)
+bool passes(uint64_t seed, const WorldSettings &settings, SeedResults &results)
 {
     OwnershipWorld world(seed, settings);
     bool passed = world.run(Span);
@@ -43,54 +45,54 @@
         world.endFaults();
         passed = world.recovers(RecoveryBound);
     }
-    verdict.handovers += world.handovers();
-    verdict.takeovers += world.takeovers();
+    results.handovers += world.handovers();
+    results.takeovers += world.takeovers();
     if (!passed) {
         std::cerr << "seed " << seed << ": " << world.violation() << "\n";
-        verdict.failed.push_back(seed);
+        results.failed.push_back(seed);
     }
     return passed;
 }
 
-Verdict play(const WorldSettings &settings)
+SeedResults runSeeds(const WorldSettings &settings)
 {
-    Verdict verdict;
+    SeedResults results;
     for (uint64_t seed = 1; seed <= Seeds; ++seed) {
-        (void)passes(seed, settings, verdict);
+        (void)passes(seed, settings, results);
     }
-    return verdict;
+    return results;
 }
 
-/** The steps have to reach hand-overs and takeovers, or they prove nothing. */
-bool reachesMoves(const Verdict &verdict)
+/** @return Whether the run had enough hand-overs and takeovers to be meaningful. */
+bool hasEnoughMoves(const SeedResults &results)
 {
-    return verdict.handovers > Seeds && verdict.takeovers > Seeds / 10;
+    return results.handovers > Seeds && results.takeovers > Seeds / 10;
 }
 
 } // namespace
 
-// Guards against keys that are held twice, or served by nobody once faults have ended.
-Test(ownership_sequence, no_key_is_held_twice_where_calls_grant)
+// Guards against keys that are held twice, or that are not served once faults have ended.
+Test(ownership_sequence, no_key_is_held_twice_with_grants_by_call)
 {
-    const Verdict verdict = play(grantingBy(GrantDelivery::Call));
-    cr_assert(verdict.failed.empty());
-    cr_assert(reachesMoves(verdict));
+    const SeedResults results = runSeeds(grantingBy(GrantDelivery::Call));
+    cr_assert(results.failed.empty());
+    cr_assert(hasEnoughMoves(results));
 }
 
-// Guards against the same in the second form of grants.
-Test(ownership_sequence, no_key_is_held_twice_where_heartbeats_grant)
+// Guards against the same with grants in replies to heartbeats.
+Test(ownership_sequence, no_key_is_held_twice_with_grants_by_heartbeat)
 {
-    const Verdict verdict = play(grantingBy(GrantDelivery::Heartbeat));
-    cr_assert(verdict.failed.empty());
-    cr_assert(reachesMoves(verdict));
+    const SeedResults results = runSeeds(grantingBy(GrantDelivery::Heartbeat));
+    cr_assert(results.failed.empty());
+    cr_assert(hasEnoughMoves(results));
 }
 
-// Guards against the same where one move of keys takes several writes.
-Test(ownership_sequence, no_key_is_held_twice_where_the_table_has_several_records)
+// Guards against the same if one move of keys takes several writes.
+Test(ownership_sequence, no_key_is_held_twice_with_several_records)
 {
     for (const GrantDelivery form : {GrantDelivery::Call, GrantDelivery::Heartbeat}) {
-        const Verdict verdict = play(grantingBy(form, SeveralRecords));
-        cr_assert(verdict.failed.empty());
-        cr_assert(reachesMoves(verdict));
+        const SeedResults results = runSeeds(grantingBy(form, SeveralRecords));
+        cr_assert(results.failed.empty());
+        cr_assert(hasEnoughMoves(results));
     }
 }
--- a/test/unit/range/ownership_world.cpp
+++ b/test/unit/range/ownership_world.cpp
@@ -1,4 +1,5 @@
-/** @file ownership_world.cpp The store, the links between nodes, and what must hold. */
+/** @file ownership_world.cpp The store, the links between nodes, and the invariants that are
+ * checked. */
 
 #include "support/ownership_world.h"
 
@@ -12,16 +13,18 @@
 
 constexpr milliseconds StoreTimeout{500};
 constexpr int64_t LateWriteMs = 3000;
-/** An opening packet that is dropped is sent again after so long. */
+/** Delay after which a lost connection request (SYN) is retransmitted. */
 constexpr int64_t LongConnectMs = 1000;
-/** What messages take on an idle and on a busy machine. */
+/** Maximum message delay on an idle and on a busy machine. */
 constexpr milliseconds IdleDelay{5};
 constexpr milliseconds BusyDelay{400};
-/** The 2% that a backend server's clock may run slow, and half of it between two nodes. */
+/**
+ * Maximum by which the clock of a backend server may run slow, and half of it between two nodes.
+ */
 constexpr double MostSlow = 0.02;
 constexpr double NodeDrift = 0.01;
 constexpr milliseconds PublishEvery{50};
-/** Of keys that are looked at for being served. */
+/** Distance between the keys that are checked for being served. */
 constexpr uint32_t SampleEvery = 1024;
 
 std::string tableText(const RangeTable &table)
@@ -44,13 +47,13 @@
 }
 
 OwnershipWorld::OwnershipWorld(uint64_t seed, WorldSettings settings)
-    : settings_(std::move(settings)), dice_(seed * 2654435761U % 2147483647U),
-      trouble_(3 + dice_.below(40)), isPeriodic_(dice_.oneIn(2)),
-      usualDelay_(isPeriodic_ || dice_.oneIn(3) ? BusyDelay : IdleDelay), agenda_(Start)
+    : settings_(std::move(settings)), draws_(seed * 2654435761U % 2147483647U),
+      faultOdds_(3 + draws_.below(40)), isPeriodic_(draws_.oneIn(2)),
+      usualDelay_(isPeriodic_ || draws_.oneIn(3) ? BusyDelay : IdleDelay), events_(Start)
 {
     for (size_t index = 0; index < NodeCount; ++index) {
-        clockRates_[index] = 1 + NodeDrift * (static_cast<double>(dice_.below(3)) - 1);
-        const double share = dice_.oneIn(2) ? MostSlow : 0;
+        clockRates_[index] = 1 + NodeDrift * (static_cast<double>(draws_.below(3)) - 1);
+        const double share = draws_.oneIn(2) ? MostSlow : 0;
         backends_[index].runSlow((1 + share) / clockRates_[index] - 1);
         nodes_[index] = std::make_unique<SimulatedNode>(*this, index, clockRates_[index]);
         startBackend(index, false);
@@ -60,15 +63,15 @@
         startNode(index);
     }
     publishMembers();
-    drawWork();
-    planFault();
+    sendRequests();
+    scheduleFault();
 }
 
 OwnershipWorld::~OwnershipWorld() = default;
 
 bool OwnershipWorld::step(TimePoint end)
 {
-    if (!agenda_.step(end)) {
+    if (!events_.step(end)) {
         return false;
     }
     for (size_t index = 0; index < NodeCount; ++index) {
@@ -81,14 +84,14 @@
 
 bool OwnershipWorld::run(Duration time)
 {
-    const TimePoint end = agenda_.now() + time;
+    const TimePoint end = events_.now() + time;
     while (violation_.empty() && step(end)) { }
     return violation_.empty();
 }
 
 void OwnershipWorld::endFaults()
 {
-    calm_ = true;
+    faultsEnded_ = true;
     for (Link &link : links_) {
         link = Link{};
     }
@@ -96,10 +99,11 @@
 
 bool OwnershipWorld::recovers(Duration bound)
 {
-    const TimePoint end = agenda_.now() + bound;
+    const TimePoint end = events_.now() + bound;
     while (violation_.empty() && !isEachKeyServed()) {
         if (!step(end)) {
-            fail("not each key is served " + timeText(Start + bound) + " ms after the last fault");
+            fail("some keys are not served " + timeText(Start + bound)
+                 + " ms after the last fault");
         }
     }
     return violation_.empty();
@@ -109,7 +113,7 @@
 {
     for (size_t index = 0; index < NodeCount; ++index) {
         if (nodes_[index] && nodes_[index]->admits(key)
-            && backends_[index].holds(key, agenda_.now())) {
+            && backends_[index].holds(key, events_.now())) {
             return true;
         }
     }
@@ -128,17 +132,17 @@
 
 milliseconds OwnershipWorld::drawDelay()
 {
-    return isTroubled() ? dice_.between(1, 700) : dice_.between(1, usualDelay_.count());
+    return isFaulty() ? draws_.between(1, 700) : draws_.between(1, usualDelay_.count());
 }
 
 milliseconds OwnershipWorld::drawConnectTime()
 {
-    return isTroubled() ? dice_.between(0, LongConnectMs) : milliseconds(0);
+    return isFaulty() ? draws_.between(0, LongConnectMs) : milliseconds(0);
 }
 
 bool OwnershipWorld::refuses(size_t index) const
 {
-    return !backends_[index].isAlive() || agenda_.now() < links_[index].refusesUntil;
+    return !backends_[index].isAlive() || events_.now() < links_[index].refusesUntil;
 }
 
 Result<StoreRevision> OwnershipWorld::apply(RecordKind kind, const RecordWrite &write)
@@ -166,62 +170,62 @@
         const RangeTable known = decodeRangeRecord(before.content).assume_value().table;
         handovers_ += countKeysByNode(known) == countKeysByNode(written) ? 0 : 1;
     }
-    if (settings_.tell) {
-        settings_.tell(timeText(agenda_.now()) + " ms, " + after.name + " at revision "
-                       + std::to_string(after.revision.value()) + ":" + tableText(written));
+    if (settings_.trace) {
+        settings_.trace(timeText(events_.now()) + " ms, " + after.name + " at revision "
+                        + std::to_string(after.revision.value()) + ":" + tableText(written));
     }
     spread(after);
 }
 
-/** A write is done in time, or late, or never; and its answer may be lost. */
+/** A write is applied in time, late or never; its answer may be lost. */
 void OwnershipWorld::write(size_t index, RecordKind kind, RecordWrite write, const WriteDone &done)
 {
     const Failure lost{FailureCode::Ambiguous, write.name};
-    const bool isTroubled = this->isTroubled();
-    if (isTroubled && dice_.oneIn(2)) {
-        agenda_.after(drawDelay(), [done, lost]() { done(lost); });
+    const bool isFaulty = this->isFaulty();
+    if (isFaulty && draws_.oneIn(2)) {
+        events_.after(drawDelay(), [done, lost]() { done(lost); });
         return;
     }
-    const milliseconds reach = isTroubled ? dice_.between(1, LateWriteMs) : drawDelay();
-    const bool isLost = isTroubled || reach > StoreTimeout;
-    agenda_.after(reach, [this, index, kind, write = std::move(write), done, isLost]() {
+    const milliseconds reach = isFaulty ? draws_.between(1, LateWriteMs) : drawDelay();
+    const bool isLost = isFaulty || reach > StoreTimeout;
+    events_.after(reach, [this, index, kind, write = std::move(write), done, isLost]() {
         const Result<StoreRevision> written = apply(kind, write);
         if (written) {
-            tell("its write of " + write.name + " is done", index);
+            trace("its write of " + write.name + " is applied", index);
         }
         if (!isLost) {
-            agenda_.after(drawDelay(), [done, written]() { done(written); });
+            events_.after(drawDelay(), [done, written]() { done(written); });
         }
     });
     if (isLost) {
-        agenda_.after(StoreTimeout, [done, lost]() { done(lost); });
+        events_.after(StoreTimeout, [done, lost]() { done(lost); });
     }
 }
 
 void OwnershipWorld::read(size_t, RecordKind kind, const std::string &name, ReadDone done)
 {
-    if (isTroubled()) {
-        agenda_.after(StoreTimeout, [done, name]() {
+    if (isFaulty()) {
+        events_.after(StoreTimeout, [done, name]() {
             done(Failure{FailureCode::DeadlineExceeded, name});
         });
         return;
     }
-    agenda_.after(drawDelay(), [this, kind, name, done = std::move(done)]() {
+    events_.after(drawDelay(), [this, kind, name, done = std::move(done)]() {
         const auto found = records_.find({kind, name});
         const bool exists = found != records_.end() && found->second.revision.value() > 0;
         const Result<StoredRecord> answer
                 = exists ? Result<StoredRecord>(found->second)
                          : Result<StoredRecord>(Failure{FailureCode::NotFound, name});
-        agenda_.after(drawDelay(), [done, answer]() { done(answer); });
+        events_.after(drawDelay(), [done, answer]() { done(answer); });
     });
 }
 
-/** The watch of each node, which may lag. */
+/** Delivers the record to the watch of each node, which may lag. */
 void OwnershipWorld::spread(const StoredRecord &ranges)
 {
     for (size_t index = 0; index < NodeCount; ++index) {
-        const milliseconds lag = isTroubled() ? dice_.between(100, 2000) : dice_.between(1, 100);
-        agenda_.after(lag, [this, index, ranges]() {
+        const milliseconds lag = isFaulty() ? draws_.between(100, 2000) : draws_.between(1, 100);
+        events_.after(lag, [this, index, ranges]() {
             if (nodes_[index]) {
                 nodes_[index]->onRanges(ranges);
             }
@@ -241,7 +245,7 @@
             = {Service, StoreRevision(++revision_), encodeRangeRecord(record)};
 }
 
-/** What the nodes publish of themselves reaches the others after a while. */
+/** Delivers the published member records to the other nodes after a delay. */
 void OwnershipWorld::publishMembers()
 {
     for (size_t index = 0; index < NodeCount; ++index) {
@@ -251,14 +255,14 @@
         published_[index] = nodes_[index]->published();
         const StoreRevision revision(++revision_);
         for (size_t other = 0; other < NodeCount; ++other) {
-            agenda_.after(drawDelay(), [this, other, revision, member = *published_[index]]() {
+            events_.after(drawDelay(), [this, other, revision, member = *published_[index]]() {
                 if (nodes_[other]) {
                     nodes_[other]->onMember(member, revision);
                 }
             });
         }
     }
-    agenda_.after(PublishEvery, [this]() { publishMembers(); });
+    events_.after(PublishEvery, [this]() { publishMembers(); });
 }
 
 void OwnershipWorld::startNode(size_t index)
@@ -288,13 +292,13 @@
                                   milliseconds timeout, const CallDone &done)
 {
     const size_t asked = to.value() - 1;
-    agenda_.after(timeout, [done]() { done(Failure{FailureCode::DeadlineExceeded, "no answer"}); });
-    agenda_.after(drawDelay(), [this, from, asked, path, body = std::move(body), done]() {
+    events_.after(timeout, [done]() { done(Failure{FailureCode::DeadlineExceeded, "no answer"}); });
+    events_.after(drawDelay(), [this, from, asked, path, body = std::move(body), done]() {
         if (isCut(from) || isCut(asked) || !nodes_[asked]) {
             return;
         }
         nodes_[asked]->onPeerCall(path, body, [this, from, asked, done](const std::string &reply) {
-            agenda_.after(drawDelay(), [this, from, asked, reply, done]() {
+            events_.after(drawDelay(), [this, from, asked, reply, done]() {
                 if (!isCut(from) && !isCut(asked)) {
                     done(reply);
                 }
@@ -303,10 +307,11 @@
     });
 }
 
-void OwnershipWorld::tell(const std::string &what, size_t index) const
+void OwnershipWorld::trace(const std::string &what, size_t index) const
 {
-    if (settings_.tell) {
-        settings_.tell(timeText(agenda_.now()) + " ms, " + std::to_string(index + 1) + ": " + what);
+    if (settings_.trace) {
+        settings_.trace(timeText(events_.now()) + " ms, " + std::to_string(index + 1) + ": "
+                        + what);
     }
 }
 
@@ -317,13 +322,13 @@
     }
 }
 
-/** Two hold a key only from the moment at which the second one takes it up. */
+/** Two backend servers can hold a key only from the moment at which the second one takes it. */
 void OwnershipWorld::checkTaken(size_t index)
 {
-    const TimePoint now = agenda_.now();
-    for (const ModelBackend::Part &part : backends_[index].parts()) {
+    const TimePoint now = events_.now();
+    for (const SimulatedBackend::Part &part : backends_[index].parts()) {
         for (size_t other = 0; other < NodeCount && part.isOccupied(now); ++other) {
-            for (const ModelBackend::Part &held : backends_[other].parts()) {
+            for (const SimulatedBackend::Part &held : backends_[other].parts()) {
                 if (other != index && held.span.overlaps(part.span) && held.isOccupied(now)) {
                     fail(spanText(part.span) + " are held by backend servers "
                          + std::to_string(index + 1) + " and " + std::to_string(other + 1) + " at "
--- a/test/unit/range/range_block_test.cpp
+++ b/test/unit/range/range_block_test.cpp
@@ -1,6 +1,5 @@
-/** @file range_block_test.cpp A range table in several records: cut apart, joined, never out of
- * step.
- */
+/** @file range_block_test.cpp A range table in several records: splitting, joining, and reading
+ * records in any order. */
 
 #include "adapter/codec/record_codec.h"
 #include "duty/fleet_view.h"
@@ -39,13 +38,13 @@
     record.service = "s";
     record.block = block;
     record.layout = layout;
-    record.table = cutBlock(table, layout.spanOf(block));
+    record.table = extractBlock(table, layout.spanOf(block));
     return record;
 }
 
 } // namespace
 
-Test(range_block, a_small_service_has_one_record_and_a_large_one_several)
+Test(range_block, small_service_has_one_record_and_a_large_one_several)
 {
     cr_assert_eq(chooseLayout(4).count, 1U);
     cr_assert_eq(chooseLayout(8).count, 1U);
@@ -55,32 +54,32 @@
     cr_assert(!isValidBlockCount(3) && !isValidBlockCount(0) && !isValidBlockCount(2048));
 }
 
-Test(range_block, what_is_cut_apart_joins_to_the_same_table)
+Test(range_block, joining_all_blocks_restores_the_table)
 {
     const RangeTable table = makeTable(41);
     const BlockLayout layout = chooseLayout(41);
-    RangeTable joined = giveRange(table, KeySpan{}, holderOf(99), {});
+    RangeTable joined = assignRange(table, KeySpan{}, holderOf(99), {});
     for (uint32_t block = 0; block < layout.count; ++block) {
         joined = replaceBlock(std::move(joined), layout.spanOf(block),
-                              cutBlock(table, layout.spanOf(block)));
+                              extractBlock(table, layout.spanOf(block)));
     }
     cr_assert(joined.entries == table.entries);
 }
 
-Test(range_block, a_view_joins_records_in_whatever_order_they_come)
+Test(range_block, view_joins_records_in_any_order)
 {
     const RangeRecord base = makeBase(41);
     const KeySpan moved{ShardKey(300), ShardKey(310)};
-    const RangeTable after = giveRange(base.table, moved, holderOf(7), "token");
+    const RangeTable after = assignRange(base.table, moved, holderOf(7), "token");
     const RangeRecord block = makeBlock(after, base.layout, 1);
     FleetView view;
 
-    SECTION("a block ahead of the service's own record is no table yet")
+    SECTION("a block that arrives before the base record does not make a table")
     {
         view.onRanges("s.block-1", block, StoreRevision(9));
         cr_assert(view.findTable("s") == nullptr);
     }
-    SECTION("with it the block counts, and the rest is as it was divided first")
+    SECTION("with the base record the block counts, and other blocks keep the initial division")
     {
         view.onRanges("s", base, StoreRevision(5));
         const StoredTable *stored = view.findTable("s");
@@ -97,7 +96,7 @@
     }
 }
 
-Test(range_block, a_blocks_record_is_read_as_it_was_written)
+Test(range_block, block_record_round_trip)
 {
     const RangeRecord base = makeBase(41);
     const RangeRecord block = makeBlock(base.table, base.layout, 200);
@@ -107,13 +106,13 @@
     cr_assert_eq(read.assume_value().block, 200U);
     cr_assert(read.assume_value().table == block.table);
 
-    SECTION("ranges outside of the block are malformed")
+    SECTION("ranges outside the block are malformed")
     {
         RangeRecord wrong = block;
         wrong.block = 201;
         cr_assert(!decodeRangeRecord(encodeRangeRecord(wrong)).has_value());
     }
-    SECTION("so is a layout that no release writes")
+    SECTION("a block count that no release writes is malformed")
     {
         RangeRecord wrong = block;
         wrong.layout.count = 250;
--- a/test/unit/range/range_controller_log_test.cpp
+++ b/test/unit/range/range_controller_log_test.cpp
@@ -1,5 +1,5 @@
-/** @file range_controller_log_test.cpp The log says on what proof a range goes to another holder.
- */
+/** @file range_controller_log_test.cpp The log shows on which evidence a range moves to another
+ * holder. */
 
 #include "adapter/log/event_log.h"
 #include "support/json_text.h"
@@ -17,7 +17,7 @@
 
 using Lines = std::vector<boost::json::object>;
 
-/** @return The lines of @p event that are logged while @p run runs. */
+/** @return The lines of @p event that are logged during @p run. */
 Lines logged(LogEvent event, const std::function<void()> &run)
 {
     std::stringstream stream;
@@ -35,7 +35,7 @@
     return lines;
 }
 
-bool names(const boost::json::object &line, std::string_view field, std::string_view text)
+bool hasValue(const boost::json::object &line, std::string_view field, std::string_view text)
 {
     return line.at(field).as_string() == text;
 }
@@ -50,7 +50,7 @@
     return fleet.admitting(ShardKey(5)).size() == 1 && fleet.admitting(ShardKey(65000)).size() == 1;
 }
 
-/** @return The keys of all spans that @p lines name. */
+/** @return The number of keys in all spans that @p lines list. */
 uint32_t countNamedKeys(const Lines &lines)
 {
     uint32_t keys = 0;
@@ -64,25 +64,28 @@
     return keys;
 }
 
-/** @return A table that gives @p holder all keys in ranges of 2,048, each under a fence of its own.
+/**
+ * @return A table that assigns all keys to @p holder in ranges of 2,048 keys, each with its own
+ *         fence.
  */
 RangeTable makeManyRanges(const RangeHolder &holder)
 {
     RangeTable table = makeRangeTable({{holder, 1}});
     for (uint32_t first = 0; first <= LastShardKey.value(); first += 2048) {
-        table = giveRange(std::move(table), {ShardKey(first), ShardKey(first + 2047)}, holder, {});
+        table = assignRange(std::move(table), {ShardKey(first), ShardKey(first + 2047)}, holder,
+                            {});
     }
     return table;
 }
 
-bool hasGivenAll(const OwnershipNode &node)
+bool hasMovedAllKeys(const OwnershipNode &node)
 {
     return countKeys(node.view.findTable("s")->table, node.record.node) == 0;
 }
 
 } // namespace
 
-Test(range_duty_log, a_range_whose_release_was_answered_says_so)
+Test(range_controller_log, move_after_an_answered_release_is_logged)
 {
     OwnershipFleet fleet;
     OwnershipNode &first = fleet.add(1, "b-1");
@@ -90,15 +93,15 @@
     cr_assert(fleet.reaches([&]() { return servesAll(fleet); }, Patience));
     const Lines lines = logged(LogEvent::RangeGivenOn, [&]() {
         (void)first.monitor.onDeregister("b-1");
-        first.duty.wake();
-        cr_assert(fleet.reaches([&]() { return hasGivenAll(first); }, Patience));
+        first.controller.wake();
+        cr_assert(fleet.reaches([&]() { return hasMovedAllKeys(first); }, Patience));
     });
-    cr_assert(!lines.empty() && names(lines.front(), "proof", "release-answered"));
+    cr_assert(!lines.empty() && hasValue(lines.front(), "proof", "release-answered"));
     cr_assert(numberOf(lines.front(), "unanswered_ms") == 0);
     cr_assert(numberOf(lines.front(), "grant_runs_ms") > 0);
 }
 
-Test(range_duty_log, a_range_whose_grants_have_run_out_says_so)
+Test(range_controller_log, move_after_expiry_of_the_grants_is_logged)
 {
     OwnershipFleet fleet;
     OwnershipNode &first = fleet.add(1, "b-1");
@@ -108,69 +111,73 @@
         first.backend.crash();
         (void)first.monitor.onRefusedConnection();
         (void)first.monitor.onRefusedConnection();
-        cr_assert(fleet.reaches([&]() { return hasGivenAll(first); }, Patience));
+        cr_assert(fleet.reaches([&]() { return hasMovedAllKeys(first); }, Patience));
     });
-    cr_assert(!lines.empty() && names(lines.front(), "proof", "grants-run-out"));
+    cr_assert(!lines.empty() && hasValue(lines.front(), "proof", "grants-run-out"));
     cr_assert(numberOf(lines.front(), "grant_runs_ms") == 0);
     cr_assert(numberOf(lines.front(), "granted_ms_ago")
               >= static_cast<uint64_t>(GrantTimes{}.hold.count()));
 }
 
-Test(range_duty_log, a_range_that_is_not_listed_any_more_names_the_heartbeats)
+Test(range_controller_log, move_of_a_range_no_longer_listed_logs_the_heartbeats)
 {
     OwnershipFleet fleet;
     OwnershipNode &first = fleet.add(1, "b-1");
     OwnershipNode &second = fleet.add(2, "b-2");
     first.grantByHeartbeat();
     second.grantByHeartbeat();
-    std::optional<GrantReply> order;
+    std::optional<GrantReply> reply;
     uint64_t sequence = 1;
-    const auto beat = [&](const HeldKeysReport &report) {
+    const auto sendHeartbeat = [&](const HeldKeysReport &report) {
         HeldKeysReport sent = report;
         sent.sequence = ++sequence;
-        order = fleet.heartbeat(first, "b-1", sequence, sent);
-        return order.has_value();
+        reply = fleet.heartbeat(first, "b-1", sequence, sent);
+        return reply.has_value();
     };
     const Lines offered = logged(LogEvent::RangesOffered, [&]() {
-        cr_assert(fleet.reaches([&]() { return beat({}) && !order->rows.empty(); }, Patience));
+        cr_assert(fleet.reaches([&]() { return sendHeartbeat({}) && !reply->rows.empty(); },
+                                Patience));
     });
     cr_assert(!offered.empty() && numberOf(offered.back(), "sequence") == sequence);
     HeldKeysReport holding;
     HeldKeysReport released;
-    for (const GrantedKeys &row : order->rows) {
+    for (const GrantedKeys &row : reply->rows) {
         holding.holds.push_back({row.span, row.fence});
         released.released.push_back({row.span, "token"});
     }
-    cr_assert(beat(holding));
-    const uint64_t shownIn = sequence;
+    cr_assert(sendHeartbeat(holding));
+    const uint64_t listedIn = sequence;
     const Lines lines = logged(LogEvent::RangeGivenOn, [&]() {
         (void)first.monitor.onDeregister("b-1");
-        first.duty.wake();
+        first.controller.wake();
         cr_assert(fleet.reaches(
                 [&]() {
-                    return first.duty.check(ShardKey(5), fleet.clock().now()) != RequestEnd::None;
+                    return first.controller.check(ShardKey(5), fleet.clock().now())
+                           != RequestEnd::None;
                 },
                 Patience));
-        (void)beat(released);
-        cr_assert(fleet.reaches([&]() { return hasGivenAll(first); }, Patience));
+        (void)sendHeartbeat(released);
+        cr_assert(fleet.reaches([&]() { return hasMovedAllKeys(first); }, Patience));
     });
-    cr_assert(!lines.empty() && names(lines.front(), "proof", "not-listed"));
-    cr_assert_eq(numberOf(lines.front(), "shown_in"), shownIn);
+    cr_assert(!lines.empty() && hasValue(lines.front(), "proof", "not-listed"));
+    cr_assert_eq(numberOf(lines.front(), "shown_in"), listedIn);
     cr_assert_eq(numberOf(lines.front(), "told_in"), sequence);
     cr_assert_eq(numberOf(lines.front(), "left_out_of"), sequence);
 }
 
-// Keys held twice whose grant stood in no line, since a line named 12 ranges at most.
-Test(range_duty_log, each_range_that_is_newly_granted_is_named)
+// Guards against grants missing from the log, which happened to keys that were held twice: a log
+// line listed at most 12 ranges.
+Test(range_controller_log, every_newly_granted_range_is_logged)
 {
     OwnershipFleet fleet;
     OwnershipNode &node = fleet.add(1, "b-1");
     const auto putTable = [&]() {
         RangeRecord record;
-        record.table = makeManyRanges({NodeId(1), node.duty.session(), node.monitor.backend()});
+        record.table
+                = makeManyRanges({NodeId(1), node.controller.session(), node.monitor.backend()});
         fleet.store().put(RecordKind::Ranges, "s", encodeRangeRecord(record));
     };
-    SECTION("by calls")
+    SECTION("granted by calls")
     {
         const Lines lines = logged(LogEvent::RangesOffered, [&]() {
             putTable();
@@ -180,10 +187,10 @@
         cr_assert_eq(countNamedKeys(lines), LastShardKey.value() + 1);
         cr_assert(numberOf(lines.front(), "hold_ms") > 0);
     }
-    SECTION("in the answer to a heartbeat")
+    SECTION("granted in the reply to a heartbeat")
     {
         node.grantByHeartbeat();
-        std::optional<GrantReply> order;
+        std::optional<GrantReply> reply;
         uint64_t sequence = 1;
         Lines lines = logged(LogEvent::RangesOffered, [&]() {
             putTable();
@@ -191,8 +198,8 @@
                     [&]() {
                         HeldKeysReport report;
                         report.sequence = ++sequence;
-                        order = fleet.heartbeat(node, "b-1", sequence, report);
-                        return order.has_value() && order->rows.size() == 32;
+                        reply = fleet.heartbeat(node, "b-1", sequence, report);
+                        return reply.has_value() && reply->rows.size() == 32;
                     },
                     Patience));
         });
@@ -204,7 +211,7 @@
     }
 }
 
-Test(range_duty_log, a_lease_that_is_taken_away_says_on_what_evidence)
+Test(range_controller_log, revocation_logs_its_evidence)
 {
     OwnershipFleet fleet;
     fleet.add(1, "b-1");
@@ -222,5 +229,5 @@
                 },
                 Patience));
     });
-    cr_assert(!lines.empty() && names(lines.front(), "evidence", "fenced at all witnesses"));
+    cr_assert(!lines.empty() && hasValue(lines.front(), "evidence", "fenced at all witnesses"));
 }
--- a/test/unit/range/range_planner_test.cpp
+++ b/test/unit/range/range_planner_test.cpp
@@ -1,4 +1,5 @@
-/** @file range_planner_test.cpp Who gets which keys when a holder leaves or is too busy. */
+/** @file range_planner_test.cpp Which holder gets which keys when a holder leaves or is
+ * overloaded. */
 
 #include "decision/range/range_planner.h"
 #include "support/test_section.h"
@@ -27,44 +28,45 @@
 
 } // namespace
 
-Test(range_planner, give_away)
+Test(range_planner, distribute_keys_of_a_leaving_holder)
 {
     const std::vector<KeySpan> whole{KeySpan{}};
-    SECTION("nobody to take it: nothing is moved")
+    SECTION("nothing moves without candidates")
     {
-        cr_assert(planGiveAway(whole, {}, {}).empty());
+        cr_assert(planDistribution(whole, {}, {}).empty());
     }
-    SECTION("without a known load the keys are divided evenly")
+    SECTION("keys are divided evenly if no load is known")
     {
-        const auto moves = planGiveAway(whole, {}, {makeCandidate(1, 0), makeCandidate(2, 0)});
+        const auto moves = planDistribution(whole, {}, {makeCandidate(1, 0), makeCandidate(2, 0)});
         cr_assert(keysOf(moves, 1) + keysOf(moves, 2) == 65536);
         cr_assert(keysOf(moves, 1) > 32000 && keysOf(moves, 1) < 33500);
     }
     SECTION("a busy candidate gets less than an idle one")
     {
         const std::vector<KeyRate> rates{{ShardKey(100), 2}, {ShardKey(40000), 2}};
-        const auto moves = planGiveAway(whole, rates, {makeCandidate(1, 10), makeCandidate(2, 1)});
+        const auto moves
+                = planDistribution(whole, rates, {makeCandidate(1, 10), makeCandidate(2, 1)});
         for (const RangeMove &move : moves) {
             const bool busyKey
                     = move.span.contains(ShardKey(100)) || move.span.contains(ShardKey(40000));
             cr_assert(!busyKey || move.holder.node == NodeId(2));
         }
     }
-    SECTION("every key is given to exactly one")
+    SECTION("every key is assigned to exactly one candidate")
     {
         const std::vector<KeySpan> parts{{ShardKey(5), ShardKey(9)}, {ShardKey(20), ShardKey(20)}};
         uint32_t keys = 0;
         for (const RangeMove &move :
-             planGiveAway(parts, {}, {makeCandidate(1, 0), makeCandidate(2, 3)})) {
+             planDistribution(parts, {}, {makeCandidate(1, 0), makeCandidate(2, 3)})) {
             keys += move.span.size();
         }
         cr_assert(keys == 6);
     }
 }
 
-// One key draws most of the demand within seconds: its holder is asked for 16 of its 12 slots, and
-// callers of all its other keys wait behind the hot one. The other keys have to leave, since the
-// hot one alone would fill the next holder just the same.
+// Guards against requests for all keys of a holder waiting behind one hot key. One key attracts
+// most of the load within seconds, so that its holder needs 16 slots and has 12. The other keys
+// have to move, since the hot key alone would fill the next holder just the same.
 Test(range_planner, neighbours_of_a_hot_key_move)
 {
     const KeySpan span{ShardKey(0), ShardKey(999)};
@@ -77,12 +79,12 @@
         cr_assert(!move.span.contains(ShardKey(500)));
         cr_assert(move.holder.node == NodeId(2));
     }
-    SECTION("a holder with room keeps what it has: a move costs its keys half a second")
+    SECTION("a holder with free slots keeps its keys: a move makes them unavailable for 0.5 s")
     {
         self.busySlots = 6;
         cr_assert(planBalance(self, {span}, rates, {makeCandidate(2, 0)}, BalanceLimits{}).empty());
     }
-    SECTION("a hot key alone moves from a slow holder to a faster one that has room for it")
+    SECTION("a hot key alone moves from a slow holder to a faster one with free slots")
     {
         const std::vector<KeyRate> hot{{ShardKey(500), 15}};
         RangeCandidate fast = makeCandidate(2, 2);
@@ -95,7 +97,7 @@
         fast.busySlots = 6;
         cr_assert(planBalance(self, {span}, hot, {fast}, BalanceLimits{}).empty());
     }
-    SECTION("and nothing moves when the others are as busy")
+    SECTION("nothing moves when the other holders are as busy")
     {
         self.busySlots = 14;
         cr_assert(
@@ -103,9 +105,9 @@
     }
 }
 
-// After many moves a holder has thirty small ranges and is asked for five times its slots; callers
-// of most keys are refused for the rest of the day. Not one of the ranges alone weighs a quarter of
-// what should move, so several have to move together.
+// Guards against a permanently overloaded holder. After many moves a holder has thirty small
+// ranges and needs five times its slots, and requests for most of its keys stay refused.
+// No single range has a quarter of the load that should move, so several have to move together.
 Test(range_planner, many_small_ranges_move_together)
 {
     std::vector<KeySpan> spans;
--- a/test/unit/range/range_table_test.cpp
+++ b/test/unit/range/range_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file range_table_test.cpp Range tables: division, moves, adoption; properties over random
+/** @file range_table_test.cpp Range tables: division, moves, adoption, and properties over random
  * moves. */
 
 #include "decision/range/range_type.h"
@@ -13,7 +13,7 @@
 const RangeHolder First{NodeId(1), Incarnation(1), "b-1"};
 const RangeHolder Second{NodeId(2), Incarnation(1), "b-2"};
 
-/** @return Whether the table covers all keys in order, with no fence above the highest. */
+/** @return Whether the table covers all keys in order and no fence is above the highest fence. */
 bool isSound(const RangeTable &table)
 {
     if (table.entries.empty() || table.entries.front().first != ShardKey(0)) {
@@ -34,16 +34,16 @@
 Test(range_table, division_and_moves)
 {
     const RangeTable table = makeRangeTable({{First, 1}, {Second, 3}});
-    SECTION("keys are divided by the shares")
+    SECTION("keys are divided according to the shares")
     {
         cr_assert(isSound(table));
         cr_assert(countKeys(table, First.node) == 16384);
         cr_assert(countKeys(table, Second.node) == 49152);
     }
-    SECTION("a move changes the holder of just its keys, under a fence above all")
+    SECTION("a move changes only the holder of its keys, under a new highest fence")
     {
         const KeySpan span{ShardKey(10), ShardKey(10)};
-        const RangeTable moved = giveRange(table, span, Second, "token");
+        const RangeTable moved = assignRange(table, span, Second, "token");
         cr_assert(moved.find(ShardKey(9))->holder == First);
         cr_assert(moved.find(ShardKey(10))->holder == Second);
         cr_assert(moved.find(ShardKey(10))->handover == "token");
@@ -53,34 +53,34 @@
     }
 }
 
-// A node restarts beside its backend server, which never stopped holding its keys: they keep their
-// fence, so that no key changes hands. If the backend server is another life, it starts without
-// keys, and the old life's fence must not serve it.
-Test(range_table, adoption_by_a_new_life)
+// A node restarts while its backend server still holds its keys: they keep their fence, so that no
+// key changes its holder. If the backend server is a new incarnation, it holds no keys, and the
+// fence of the old incarnation must not be reused.
+Test(range_table, adoption_by_a_new_incarnation)
 {
     const RangeTable table = makeRangeTable({{First, 1}, {Second, 1}});
-    SECTION("the same life of the backend server keeps the fence")
+    SECTION("the same incarnation of the backend server keeps the fence")
     {
         const RangeHolder restarted{First.node, Incarnation(2), First.backend};
         const RangeTable adopted = adoptRanges(table, restarted);
         cr_assert(adopted.find(ShardKey(0))->holder == restarted);
         cr_assert(adopted.find(ShardKey(0))->fence == table.find(ShardKey(0))->fence);
     }
-    SECTION("another life gets a new one")
+    SECTION("a new incarnation of the backend server gets a new fence")
     {
-        const RangeHolder reborn{First.node, Incarnation(2), "b-9"};
-        const RangeTable adopted = adoptRanges(table, reborn);
+        const RangeHolder replaced{First.node, Incarnation(2), "b-9"};
+        const RangeTable adopted = adoptRanges(table, replaced);
         cr_assert(adopted.find(ShardKey(0))->fence > table.highestFence);
         cr_assert(adopted.find(ShardKey(0))->handover.empty());
     }
-    SECTION("others' ranges stay as they are")
+    SECTION("ranges of other holders are unchanged")
     {
         const RangeTable adopted = adoptRanges(table, {NodeId(3), Incarnation(1), "b-3"});
         cr_assert(adopted == table);
     }
 }
 
-Test(range_table, random_moves_keep_it_sound)
+Test(range_table, random_moves_keep_the_table_consistent)
 {
     const bool held = holds(7, [](const std::vector<uint16_t> &cuts) {
         RangeTable table = makeRangeTable({{First, 1}, {Second, 1}});
@@ -89,7 +89,7 @@
             const KeySpan span{ShardKey(low), ShardKey(high)};
             const RangeHolder &holder = index % 2 == 0 ? First : Second;
             const Epoch before = table.highestFence;
-            table = giveRange(std::move(table), span, holder, {});
+            table = assignRange(std::move(table), span, holder, {});
             const RangeEntry *entry = table.find(span.last);
             RC_ASSERT(isSound(table));
             RC_ASSERT(entry->holder == holder && entry->fence > before);
