--- a/src/decision/health/health_decision.cpp
+++ b/src/decision/health/health_decision.cpp
@@ -1,16 +1,16 @@
-/** @file health_decision.cpp Whether a node is alive and whether it can serve. */
+/** @file health_decision.cpp Liveness and readiness of a node. */
 
 #include "decision/health/health_decision.h"
 
 namespace wisteriahoist {
 
-std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &turns,
+std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &activities,
                                                TimePoint now)
 {
     std::vector<std::string_view> stuck;
-    for (const LoopActivity &turn : turns) {
-        if (now - turn.at > LoopStallTimeout) {
-            stuck.push_back(turn.duty);
+    for (const LoopActivity &activity : activities) {
+        if (now - activity.at > LoopStallTimeout) {
+            stuck.push_back(activity.duty);
         }
     }
     return stuck;
--- a/src/decision/health/health_decision.h
+++ b/src/decision/health/health_decision.h
@@ -1,4 +1,4 @@
-/** @file health_decision.h Whether a node is alive and whether it can serve. */
+/** @file health_decision.h Liveness and readiness of a node. */
 
 #pragma once
 
@@ -9,24 +9,24 @@
 
 namespace wisteriahoist {
 
-/** A duty's event loop must have turned within this time, or the process counts as stuck. */
+/** A process counts as stalled if one of its event loops has not run for this time. */
 inline constexpr milliseconds LoopStallTimeout{3000};
 
-/** When one duty's event loop turned last. */
+/** When the event loop of one duty ran last. */
 struct LoopActivity {
-    std::string_view duty; ///< A literal.
+    std::string_view duty; ///< Refers to a string literal.
     TimePoint at = NeverTime;
 };
 
-/** @return The duties whose loop has not turned within LoopStallTimeout; none: alive. */
-std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &turns,
+/** @return The duties whose event loop is stalled; empty if the process is alive. */
+std::vector<std::string_view> findStalledLoops(const std::vector<LoopActivity> &activities,
                                                TimePoint now);
 
-/** What decides whether requests should be sent to a node. */
+/** State that determines whether a node can serve requests. */
 struct ReadinessInput {
     TimePoint leaseUntil = NeverTime;
     bool routingPresent = false;   ///< Declarations and an assignment have been received.
-    bool backendAnnounced = false; ///< A backend server beside this node has announced itself.
+    bool backendAnnounced = false; ///< A backend server beside this node has been announced.
     bool draining = false;
 };
 
@@ -35,7 +35,7 @@
 
 std::string_view notReadyReasonName(NotReadyReason reason);
 
-/** @return Every reason against; none: ready. */
+/** @return All reasons why the node is not ready; empty if it is. */
 std::vector<NotReadyReason> findNotReadyReasons(const ReadinessInput &input, TimePoint now);
 
 } // namespace wisteriahoist
--- a/src/decision/request/adaptive_throttle.cpp
+++ b/src/decision/request/adaptive_throttle.cpp
@@ -1,4 +1,4 @@
-/** @file adaptive_throttle.cpp Which requests a first node refuses itself. */
+/** @file adaptive_throttle.cpp Client-side throttling of requests to an overloaded service. */
 
 #include "decision/request/adaptive_throttle.h"
 
@@ -15,21 +15,21 @@
 
 } // namespace
 
-void AdaptiveThrottle::fade(TimePoint now)
+void AdaptiveThrottle::decayCounts(TimePoint now)
 {
-    if (fadedAt_ != NeverTime && now > fadedAt_) {
-        const double factor = std::exp(-secondsOf(now - fadedAt_) / secondsOf(limits_.decay));
+    if (decayedAt_ != NeverTime && now > decayedAt_) {
+        const double factor = std::exp(-secondsOf(now - decayedAt_) / secondsOf(limits_.decay));
         decided_ *= factor;
         accepted_ *= factor;
     }
-    fadedAt_ = now;
+    decayedAt_ = now;
 }
 
 bool AdaptiveThrottle::admit(TimePoint now, double random)
 {
-    fade(now);
+    decayCounts(now);
     const double excess = decided_ - limits_.passedPerAccepted * accepted_;
-    const bool isFull = decided_ >= limits_.leastSeen && excess > 0;
+    const bool isFull = decided_ >= limits_.minDecided && excess > 0;
     if (!isFull || random >= excess / decided_) {
         return true;
     }
@@ -39,7 +39,7 @@
 
 void AdaptiveThrottle::onEnd(bool accepted, TimePoint now)
 {
-    fade(now);
+    decayCounts(now);
     ++decided_;
     accepted_ += accepted ? 1 : 0;
 }
--- a/src/decision/request/adaptive_throttle.h
+++ b/src/decision/request/adaptive_throttle.h
@@ -1,5 +1,4 @@
-/** @file adaptive_throttle.h Which requests a first node refuses itself, since their service is
- * full everywhere. */
+/** @file adaptive_throttle.h Client-side throttling of requests to an overloaded service. */
 
 #pragma once
 
@@ -7,21 +6,21 @@
 
 namespace wisteriahoist {
 
-/** Bounds of the throttle. */
+/** Limits of the throttle. */
 struct ThrottleLimits {
-    /** Requests passed on for each one that found room. What is above 1 finds out when there is
-     *  room again, and keeps every slot in use although one node sees little of the fleet. */
+    /** Requests passed on per accepted one. The excess over 1 probes for free capacity, and keeps
+     *  every slot in use although one node sees only a small part of the fleet. */
     double passedPerAccepted = 1.5;
-    milliseconds decay{1000}; ///< Time constant in which earlier requests fade.
-    double leastSeen = 8;     ///< Faded requests below which all are passed on.
+    milliseconds decay{1000}; ///< Time constant of the exponential decay of the counts.
+    double minDecided = 8;    ///< All requests are passed on while the decayed count is below this.
 };
 
 /**
- * Client-side throttling of one kind of request at the node that its callers reach first. Where
- * most requests find all instances full, each of them costs several hops between nodes that are
- * short of processor time already, and its caller is refused all the same. So the excess over a
- * multiple of what found room lately is refused on arrival; callers learn at once, and nodes keep
- * their processor time for what is served.
+ * Client-side throttling of one kind of request at the ingress node, the one the caller is
+ * connected to. When most requests find all instances full, each of them costs several hops
+ * between nodes that are short of CPU time, and is refused all the same. The throttle therefore
+ * refuses the excess over a multiple of the recently accepted requests on arrival: callers get
+ * the refusal at once, and the nodes spend their CPU time on requests that can be served.
  */
 class AdaptiveThrottle
 {
@@ -29,23 +28,23 @@
     explicit AdaptiveThrottle(ThrottleLimits limits = {}) : limits_(limits) { }
 
     /**
-     * A request has arrived.
-     * @param random In [0, 1).
-     * @return Whether it is to be passed on; if so, onEnd() is to follow.
+     * Decides about a request that has arrived.
+     * @param random Uniformly distributed in [0, 1).
+     * @return Whether to pass it on; if so, onEnd() must be called when it has ended.
      */
     bool admit(TimePoint now, double random);
 
-    /** A request that was passed on has ended; until then nothing is known of the room for it.
-     *  @param accepted Whether it found room. */
+    /** Records the end of a request that was passed on; only then its acceptance is known.
+     *  @param accepted Whether an instance had room for it. */
     void onEnd(bool accepted, TimePoint now);
 
 private:
-    void fade(TimePoint now);
+    void decayCounts(TimePoint now);
 
     ThrottleLimits limits_;
-    double decided_ = 0;  ///< Faded count of requests that have ended or were refused here.
-    double accepted_ = 0; ///< Faded count of those that found room.
-    TimePoint fadedAt_ = NeverTime;
+    double decided_ = 0;  ///< Decayed count of requests that have ended or were refused here.
+    double accepted_ = 0; ///< Decayed count of accepted requests.
+    TimePoint decayedAt_ = NeverTime;
 };
 
 } // namespace wisteriahoist
--- a/src/decision/request/admission_control.cpp
+++ b/src/decision/request/admission_control.cpp
@@ -1,4 +1,4 @@
-/** @file admission_control.cpp Who runs at a backend server next. */
+/** @file admission_control.cpp Admission to one backend server: run, queue or refuse. */
 
 #include "decision/request/admission_control.h"
 
@@ -8,8 +8,9 @@
 
 namespace {
 
-constexpr milliseconds LeastRetryAfter{100}; ///< About the time in which one slot comes free.
-constexpr milliseconds LeastPatience{30};    ///< A wait that is predicted as none may take as long.
+constexpr milliseconds MinRetryAfter{100}; ///< About the interval at which a slot becomes free.
+/** Lower bound of the time in the queue: a wait predicted as none may take this long. */
+constexpr milliseconds MinQueueTime{30};
 
 Duration scale(Duration duration, double factor)
 {
@@ -20,7 +21,7 @@
 
 Duration AdmissionControl::serviceTime() const
 {
-    return mean_ > Duration(0) ? mean_ : Duration(limits_.firstService);
+    return mean_ > Duration(0) ? mean_ : Duration(limits_.initialServiceTime);
 }
 
 Duration AdmissionControl::meanOf(uint64_t kind) const
@@ -36,7 +37,7 @@
     for (auto entry = order_.begin(); entry != order_.end() && *entry < rank; ++entry) {
         ahead += meanOf(waiting_.at(entry->id).kind);
     }
-    // The first slot comes free after one service time over the number of slots.
+    // The first slot becomes free after one service time divided by the number of slots.
     if (running_ >= slots) {
         ahead += serviceTime() * (1 + running_ - slots);
     }
@@ -77,17 +78,18 @@
     rank.id = item.id;
     decision.predictedWait = waitBehind(rank);
     const Duration allowed = allowedWait(item, rank.late, now);
-    const bool full = slots_ == 0 || waiting_.size() >= limits_.waiting;
+    const bool full = slots_ == 0 || waiting_.size() >= limits_.maxQueued;
     if (full || decision.predictedWait > allowed) {
         const auto wait = std::chrono::duration_cast<milliseconds>(decision.predictedWait);
-        decision.retryAfter = std::max(LeastRetryAfter, wait);
+        decision.retryAfter = std::max(MinRetryAfter, wait);
         return decision;
     }
     order_.insert(rank);
     waiting_[item.id] = {rank, item.kind};
     decision.step = AdmissionDecision::Step::Wait;
-    const Duration patience = std::max<Duration>(scale(allowed, limits_.patience), LeastPatience);
-    decision.queueDeadline = std::min(item.deadline, now + patience);
+    const Duration queueTime
+            = std::max<Duration>(scale(allowed, limits_.waitTolerance), MinQueueTime);
+    decision.queueDeadline = std::min(item.deadline, now + queueTime);
     return decision;
 }
 
@@ -117,12 +119,12 @@
     if (!service) {
         return;
     }
-    const auto learn = [this, service](Duration &mean) {
+    const auto updateMean = [this, service](Duration &mean) {
         mean = mean == Duration(0) ? *service : mean + scale(*service - mean, limits_.smoothing);
     };
-    learn(mean_);
-    if (means_.size() < limits_.kinds || means_.count(kind) > 0) {
-        learn(means_[kind]);
+    updateMean(mean_);
+    if (means_.size() < limits_.maxKinds || means_.count(kind) > 0) {
+        updateMean(means_[kind]);
     }
 }
 
--- a/src/decision/request/admission_control.h
+++ b/src/decision/request/admission_control.h
@@ -1,5 +1,4 @@
-/** @file admission_control.h Who runs at a backend server next, who waits, and who is refused at
- * once. */
+/** @file admission_control.h Admission of requests to one backend server: run, queue or refuse. */
 
 #pragma once
 
@@ -13,104 +12,108 @@
 
 namespace wisteriahoist {
 
-/** Bounds of admission. */
+/** Limits of admission. */
 struct AdmissionLimits {
     /**
-     * Part of the time between now and the latest useful start that a request may be predicted to
-     * wait. Service times spread widely (their 90th percentile is about twice the mean), so a
-     * request that is predicted to end just in time is late every other time.
+     * Largest predicted wait, as a share of the time from now to the latest start that still meets
+     * the objective. Service times vary widely (their 90th percentile is about twice the mean), so
+     * half of the requests that are predicted to end just in time would be late.
      */
     double waitShare = 0.5;
-    /** The same for a request whose latency objective is out of reach already. */
+    /** The same for a request that can no longer meet its latency objective. */
     double lateWaitShare = 0.25;
     /**
-     * A request is cheap if it takes less than this part of the mean. Refusing it frees hardly any
-     * room, and whoever waits for it loses all the same: it may wait for a part of its whole time,
-     * not only of its objective's. Calls among the services are of this sort: each one that is
-     * refused costs the request that needs it, with the work already done for it.
+     * A request is cheap if its service time is less than this share of the mean. Refusing it
+     * frees hardly any capacity, and the request that depends on it fails nevertheless, so it may
+     * wait for a share of the time to its deadline, not only to its objective. Calls between the
+     * services are of this kind: each refused one fails the request that needs it and wastes the
+     * work already done for that request.
      */
     double cheapShare = 0.5;
     double cheapWaitShare = 0.6;
-    /** A prediction may turn out this many times too low before the request is refused after all.
-     */
-    double patience = 1.5;
-    milliseconds firstService{200}; ///< Assumed until a request has ended.
-    double smoothing = 0.1;         ///< Weight of one more service time: the last 20 or so count.
-    size_t kinds = 256;   ///< Kinds of request whose service time is kept; a bound on memory.
-    size_t waiting = 512; ///< Most requests that wait; a bound on memory, never met in practice.
+    /** A request is refused once it has waited for this multiple of its allowed wait; predictions
+     *  may be too low by this factor. */
+    double waitTolerance = 1.5;
+    milliseconds initialServiceTime{200}; ///< Assumed service time until a request has ended.
+    double smoothing = 0.1; ///< Weight of a new service time; averages over about the last 20.
+    size_t maxKinds = 256;  ///< Kinds of request with a service time of their own; bounds memory.
+    size_t maxQueued = 512; ///< Queued requests; bounds memory, not reached in normal operation.
 };
 
-/** What a request asks for. */
+/** A request that asks for admission. */
 struct WorkItem {
     uint64_t id = 0;
-    uint64_t kind = 0;     ///< Requests of one kind take about as long.
+    uint64_t kind = 0;     ///< Requests of one kind have similar service times.
     uint32_t priority = 0; ///< 0 is the highest.
-    TimePoint deadline;    ///< Nobody waits for the answer after this.
-    TimePoint objective;   ///< An answer after this is late.
+    TimePoint deadline;    ///< The caller does not wait for a response beyond this.
+    TimePoint objective;   ///< A response after this misses the latency objective.
 };
 
-/** What happens to a request that has arrived. */
+/** The decision about one request. */
 struct AdmissionDecision {
     enum class Step {
-        Run,   ///< A slot is taken.
-        Wait,  ///< It waits, until queueDeadline at most.
-        Refuse ///< It can't be served in time.
+        Run,   ///< A slot has been taken for it.
+        Wait,  ///< It is queued, until queueDeadline at the latest.
+        Refuse ///< It cannot be served in time.
     };
     Step step = Step::Refuse;
-    TimePoint queueDeadline = NeverTime; ///< For Wait.
-    milliseconds retryAfter{0};          ///< For Refuse: when there may be room.
+    TimePoint queueDeadline = NeverTime; ///< Set for Wait.
+    milliseconds retryAfter{0};          ///< Set for Refuse: when capacity is expected.
     Duration predictedWait{0};
 };
 
 /**
- * Admission to one backend server. As many requests run at once as it has slots, so that its own
- * queue stays empty and the order of waiting is decided here: by priority, on-time requests before
- * late ones, then by the time at which they become late.
+ * Admission to one backend server. It runs at most as many requests at once as the server has
+ * slots, so that the server's own queue stays empty and the order is decided here: by priority,
+ * then requests that can meet their objective before late ones, then by objective.
  *
- * A request is refused on arrival if it is predicted to start too late. Under overload that keeps
- * the queue as short as the objective asks for: what is served is served in time, and what is not
- * is told so at once.
+ * A request is refused on arrival if it is predicted to start too late. Under overload this keeps
+ * the queue as short as the objective requires: admitted requests are served in time, and all
+ * others are refused at once.
  */
 class AdmissionControl
 {
 public:
     explicit AdmissionControl(AdmissionLimits limits) : limits_(limits) { }
 
-    /** The backend server's life has changed. */
+    /** The number of slots, or the incarnation, of the backend server has changed. */
     void onSlots(uint32_t slots) { slots_ = slots; }
 
+    /** Admits, queues or refuses a request that has arrived. */
     AdmissionDecision offer(const WorkItem &item, TimePoint now);
 
-    /** Takes the next waiting request, if a slot is free; its slot is then taken. */
+    /** Removes the next queued request and takes a slot for it. @return nullopt if no slot is free
+     *  or no request waits. */
     std::optional<uint64_t> takeNext();
 
-    /** A waiting request has been given up. */
+    /** Removes a queued request, if it is still queued. */
     void remove(uint64_t id);
 
-    /** A request that ran has ended. @param service Nothing if it was refused or cut off. */
+    /** A running request has ended. @param service Its service time; nullopt if it was refused or
+     *  cancelled. */
     void onEnd(uint64_t kind, std::optional<Duration> service);
 
     uint32_t running() const { return running_; }
     size_t waiting() const { return waiting_.size(); }
     uint32_t slots() const { return slots_; }
 
-    /** @return The mean service time of all requests. */
+    /** @return The mean service time over all kinds. */
     Duration serviceTime() const;
 
-    /** @return How long a request without priority over any waiting one would wait. */
+    /** @return The wait of a request that is queued last. */
     Duration predictedWait() const;
 
 private:
-    /** Order of waiting: the least first. */
+    /** Position in the queue: the smallest is next. */
     struct Rank {
         uint32_t priority = 0;
         bool late = false;
         TimePoint objective;
-        uint64_t id = 0; ///< Rises with the arrival.
+        uint64_t id = 0; ///< Increases in the order of arrival.
         auto operator<=>(const Rank &) const = default;
     };
 
-    /** A request that waits. */
+    /** A queued request. */
     struct Waiting {
         Rank rank;
         uint64_t kind = 0;
@@ -125,8 +128,8 @@
     uint32_t running_ = 0;
     std::set<Rank> order_;
     std::unordered_map<uint64_t, Waiting> waiting_; ///< Invariant: the same requests as order_.
-    std::unordered_map<uint64_t, Duration> means_;  ///< Service times by kind.
-    Duration mean_{0};                              ///< Over all kinds; 0: none yet.
+    std::unordered_map<uint64_t, Duration> means_;  ///< Mean service time by kind.
+    Duration mean_{0}; ///< Over all kinds; 0: no request has ended yet.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/request/admission_queue.cpp
+++ b/src/decision/request/admission_queue.cpp
@@ -1,4 +1,4 @@
-/** @file admission_queue.cpp Which waiting request gets the next free slot. */
+/** @file admission_queue.cpp Bounded queue of requests that wait for a slot. */
 
 #include "decision/request/admission_queue.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-TimePoint endOf(const QueuedRequest &request)
+TimePoint expiryOf(const QueuedRequest &request)
 {
     return std::min(request.deadline, request.queueDeadline);
 }
@@ -17,36 +17,36 @@
 
 bool AdmissionQueue::push(const QueuedRequest &request)
 {
-    if (entries_.size() >= limits_.entries) {
+    if (entries_.size() >= limits_.maxEntries) {
         return false;
     }
     entries_.emplace(request.id, request);
     byDeadline_.emplace(request.deadline, request.id);
-    byPatience_.emplace(endOf(request), request.id);
+    byExpiry_.emplace(expiryOf(request), request.id);
     return true;
 }
 
 void AdmissionQueue::erase(std::map<uint64_t, QueuedRequest>::iterator entry)
 {
     byDeadline_.erase({entry->second.deadline, entry->first});
-    byPatience_.erase({endOf(entry->second), entry->first});
+    byExpiry_.erase({expiryOf(entry->second), entry->first});
     entries_.erase(entry);
 }
 
 std::optional<uint64_t> AdmissionQueue::pop(TimePoint now)
 {
-    const bool patientTurn = ++popped_ % limits_.patientShare == 0;
+    const bool longestWaiterTurn = ++popped_ % limits_.longestWaiterInterval == 0;
     std::optional<uint64_t> chosen;
-    if (patientTurn) {
+    if (longestWaiterTurn) {
         const auto waiting
                 = std::find_if(entries_.begin(), entries_.end(),
-                               [now](const auto &entry) { return endOf(entry.second) > now; });
+                               [now](const auto &entry) { return expiryOf(entry.second) > now; });
         if (waiting != entries_.end()) {
             chosen = waiting->first;
         }
     } else {
         for (const auto &[deadline, id] : byDeadline_) {
-            if (endOf(entries_.at(id)) > now) {
+            if (expiryOf(entries_.at(id)) > now) {
                 chosen = id;
                 break;
             }
@@ -71,8 +71,8 @@
 std::vector<uint64_t> AdmissionQueue::takeExpired(TimePoint now)
 {
     std::vector<uint64_t> expired;
-    while (!byPatience_.empty() && byPatience_.begin()->first <= now) {
-        expired.push_back(byPatience_.begin()->second);
+    while (!byExpiry_.empty() && byExpiry_.begin()->first <= now) {
+        expired.push_back(byExpiry_.begin()->second);
         erase(entries_.find(expired.back()));
     }
     return expired;
--- a/src/decision/request/admission_queue.h
+++ b/src/decision/request/admission_queue.h
@@ -1,4 +1,4 @@
-/** @file admission_queue.h Which waiting request gets the next free slot. */
+/** @file admission_queue.h Bounded queue of requests that wait for a slot. */
 
 #pragma once
 
@@ -13,23 +13,23 @@
 
 namespace wisteriahoist {
 
-/** Bounds of one service's queue. */
+/** Limits of one service's queue. */
 struct QueueLimits {
-    size_t entries = 256;      ///< Beyond: answered at once as overloaded.
-    uint32_t patientShare = 4; ///< Each so many-th slot goes to the one that waited longest.
+    size_t maxEntries = 256;            ///< Further requests are refused as overloaded.
+    uint32_t longestWaiterInterval = 4; ///< Every n-th slot goes to the longest waiting request.
 };
 
-/** A request that waits. */
+/** A queued request. */
 struct QueuedRequest {
     uint64_t id = 0;
     TimePoint deadline;
-    TimePoint queueDeadline; ///< It is answered not run at this time.
+    TimePoint queueDeadline; ///< At this time the request is refused as not run.
 };
 
 /**
- * A bounded queue, earliest deadline first. Each patientShare-th slot goes to the request that
- * waited longest: with deadlines alone, requests with a far deadline starve under steady load and
- * all of them end at their patience bound.
+ * A bounded queue, earliest deadline first. Every longestWaiterInterval-th slot goes to the request
+ * that has waited longest: by deadline alone, requests with a distant deadline starve under steady
+ * load, and all of them end at their queue deadline.
  */
 class AdmissionQueue
 {
@@ -39,13 +39,14 @@
     /** @return false if the queue is full. @pre The id is not in the queue. */
     bool push(const QueuedRequest &request);
 
-    /** @return The request to run next; requests past patience or deadline are never returned. */
+    /** @return The request to run next; never one beyond its queue deadline or deadline. */
     std::optional<uint64_t> pop(TimePoint now);
 
-    /** Takes a request out, e.g. as its caller has gone. @return false if it is not there. */
+    /** Removes a request, for example when its caller has disconnected. @return false if it is not
+     *  queued. */
     bool remove(uint64_t id);
 
-    /** Takes out and returns the requests whose patience or deadline is over. */
+    /** Removes and returns the requests that are beyond their queue deadline or deadline. */
     std::vector<uint64_t> takeExpired(TimePoint now);
 
     size_t size() const { return entries_.size(); }
@@ -54,9 +55,9 @@
     void erase(std::map<uint64_t, QueuedRequest>::iterator entry);
 
     QueueLimits limits_;
-    std::map<uint64_t, QueuedRequest> entries_; ///< By id, which rises: the first waited longest.
+    std::map<uint64_t, QueuedRequest> entries_; ///< By id, which increases: longest waiting first.
     std::set<std::pair<TimePoint, uint64_t>> byDeadline_; ///< Invariant: same ids as entries_.
-    std::set<std::pair<TimePoint, uint64_t>> byPatience_; ///< By the earlier of both bounds.
+    std::set<std::pair<TimePoint, uint64_t>> byExpiry_;   ///< By the earlier of both deadlines.
     uint32_t popped_ = 0;
 };
 
--- a/src/decision/request/attempt_policy.cpp
+++ b/src/decision/request/attempt_policy.cpp
@@ -1,4 +1,4 @@
-/** @file attempt_policy.cpp What the first node does after an attempt has ended. */
+/** @file attempt_policy.cpp Decides what the ingress node does after an attempt has ended. */
 
 #include "decision/request/attempt_policy.h"
 
@@ -8,31 +8,31 @@
 
 namespace {
 
-/** @return Whether a request may wait on for its key's owner. */
-bool mayAwaitOwner(const AttemptEnd &end, const AttemptHistory &history,
+/** @return Whether a request may continue to wait for the owner of its key. */
+bool mayAwaitOwner(const AttemptResult &end, const AttemptHistory &history,
                    const AttemptLimits &limits)
 {
     Duration most(0);
     if (end.routingMayChange) {
         most = limits.ownerWait;
-    } else if (end.backendAway) {
+    } else if (end.backendUnavailable) {
         most = limits.backendWait;
     }
     if (history.objective > Duration(0)) {
         const auto share
                 = std::chrono::duration_cast<Duration>(history.objective * limits.ownerWaitShare);
-        most = std::min(most, std::max<Duration>(share, limits.leastOwnerWait));
+        most = std::min(most, std::max<Duration>(share, limits.minOwnerWait));
     }
-    return history.awaitedOwner < most;
+    return history.ownerWaitSpent < most;
 }
 
 } // namespace
 
-AttemptStep decideNextAttempt(const AttemptEnd &end, const AttemptHistory &history,
+AttemptStep decideNextAttempt(const AttemptResult &end, const AttemptHistory &history,
                               const AttemptLimits &limits)
 {
     const bool served = end.outcome == Outcome::Done && end.status < 500;
-    if (served || history.timeLeft < limits.leastTimeLeft) {
+    if (served || history.timeLeft < limits.minTimeLeft) {
         return AttemptStep::Finish;
     }
     const bool notRun = end.outcome == Outcome::NotRun;
@@ -41,32 +41,32 @@
             return mayAwaitOwner(end, history, limits) ? AttemptStep::AwaitOwner
                                                        : AttemptStep::Finish;
         }
-        const bool more = history.asked < history.candidates && history.asked < limits.asks;
-        return more ? AttemptStep::AskAnother : AttemptStep::Finish;
+        const bool more = history.tried < history.candidates && history.tried < limits.maxTried;
+        return more ? AttemptStep::TryAnother : AttemptStep::Finish;
     }
-    // What may have run is sent again only where running twice does no harm.
+    // A request that may have run is sent again only if it is idempotent.
     const bool repeatable = notRun || history.idempotent;
     if (!repeatable || history.reached >= history.maxAttempts) {
         return AttemptStep::Finish;
     }
-    // The holder of a key is the only one that could serve it: after a failure it would be asked
-    // for the same again. Only a lost connection may go better the second time.
+    // Only the owner of a key can serve it, and would probably fail again; only a lost connection
+    // may succeed at the second attempt.
     if (history.sharded && end.outcome == Outcome::Done) {
         return AttemptStep::Finish;
     }
-    return AttemptStep::RepeatAnother;
+    return AttemptStep::RetryAnother;
 }
 
-FinalAnswer chooseFinalAnswer(const AttemptEnd &end, const AttemptHistory &history)
+FinalReply chooseFinalReply(const AttemptResult &end, const AttemptHistory &history)
 {
     if (end.outcome == Outcome::Done) {
-        return FinalAnswer::LastEnd;
+        return FinalReply::LastResult;
     }
     if (history.answered) {
-        return FinalAnswer::EarlierAnswer;
+        return FinalReply::EarlierResponse;
     }
-    return end.outcome == Outcome::NotRun && history.mayHaveRun ? FinalAnswer::Unknown
-                                                                : FinalAnswer::LastEnd;
+    return end.outcome == Outcome::NotRun && history.mayHaveRun ? FinalReply::Unknown
+                                                                : FinalReply::LastResult;
 }
 
 } // namespace wisteriahoist
--- a/src/decision/request/attempt_policy.h
+++ b/src/decision/request/attempt_policy.h
@@ -1,4 +1,4 @@
-/** @file attempt_policy.h What the first node does after an attempt at one instance has ended. */
+/** @file attempt_policy.h Decides what the ingress node does after an attempt has ended. */
 
 #pragma once
 
@@ -9,80 +9,80 @@
 namespace wisteriahoist {
 
 /** How one attempt ended. */
-struct AttemptEnd {
+struct AttemptResult {
     Outcome outcome = Outcome::Unknown;
     uint16_t status = 0;
-    bool reachedBackend = false;   ///< It was sent to the backend server.
-    bool routingMayChange = false; ///< The key is on its way to another holder.
-    bool backendAway = false;      ///< The holder's backend server is down or leaving.
+    bool reachedBackend = false;     ///< The request was sent to the backend server.
+    bool routingMayChange = false;   ///< The key is being handed over to another owner.
+    bool backendUnavailable = false; ///< The owner's backend server is down or draining.
 };
 
-/** What is known of the request as a whole. */
+/** State of the request over all of its attempts. */
 struct AttemptHistory {
     bool idempotent = false;
-    bool sharded = false;     ///< Only the holder of its key can serve it.
-    uint32_t maxAttempts = 1; ///< Instances that may be reached in all.
-    uint32_t reached = 0;     ///< Instances reached so far, this one included.
-    uint32_t asked = 0;       ///< Nodes asked so far, this one included.
-    uint32_t candidates = 0;  ///< Nodes that could be asked in all.
-    bool mayHaveRun = false;  ///< An attempt ended with an unknown outcome.
-    bool answered = false;    ///< A backend server has answered an earlier attempt with a failure.
-    Duration timeLeft{0};     ///< Until the caller or the route gives up.
-    Duration awaitedOwner{0}; ///< Time already spent on waiting for an owner.
-    Duration objective{0};    ///< Within which an answer is of full use; 0: none is set.
+    bool sharded = false;       ///< Only the owner of its key can serve it.
+    uint32_t maxAttempts = 1;   ///< Limit of the attempts that reach an instance.
+    uint32_t reached = 0;       ///< Attempts that reached an instance, this one included.
+    uint32_t tried = 0;         ///< Nodes tried so far, this one included.
+    uint32_t candidates = 0;    ///< Nodes that can serve the request.
+    bool mayHaveRun = false;    ///< An attempt ended with an unknown outcome.
+    bool answered = false;      ///< A backend server answered an earlier attempt with a failure.
+    Duration timeLeft{0};       ///< Until the deadline of the caller or the route.
+    Duration ownerWaitSpent{0}; ///< Time already spent waiting for an owner of the key.
+    Duration objective{0};      ///< Latency objective of the route; 0: none.
 };
 
-/** What comes next. */
+/** The next step. */
 enum class AttemptStep {
-    Finish,        ///< The caller gets this attempt's end.
-    AskAnother,    ///< Nothing has reached an instance: asking another node is free.
-    RepeatAnother, ///< It reached an instance: sending it once more draws on the budget.
-    AwaitOwner,    ///< Wait shortly for newer routing, then ask the owner.
+    Finish,       ///< The attempts end; see chooseFinalReply().
+    TryAnother,   ///< Try another node; no instance was reached, so the retry budget is not used.
+    RetryAnother, ///< Retry after an instance was reached; uses the retry budget.
+    AwaitOwner,   ///< Wait briefly for newer routing, then try the owner.
 };
 
-/** What the caller gets when no further attempt is made. */
-enum class FinalAnswer {
-    LastEnd,       ///< How the last attempt ended.
-    EarlierAnswer, ///< The failure with which a backend server answered an earlier attempt.
-    Unknown,       ///< That the request may have run.
+/** Which response the caller gets when no further attempt is made. */
+enum class FinalReply {
+    LastResult,      ///< The result of the last attempt.
+    EarlierResponse, ///< The failure with which a backend server answered an earlier attempt.
+    Unknown,         ///< That the request may have run.
 };
 
-/** Bounds of the attempts. */
+/** Limits of the attempts. */
 struct AttemptLimits {
     /**
-     * Nodes asked for room. A refusal comes back in about 2 ms and carries a fresh load, so the
-     * next choice is a good one; if three are full, all are.
+     * Nodes tried for a free slot. A refusal takes about 2 ms and carries the node's current load,
+     * so the next choice is well informed; if three nodes are full, all of them are.
      */
-    uint32_t asks = 3;
+    uint32_t maxTried = 3;
     /**
-     * A range that moves is back in about half a second, an owner's crash is noticed in a tenth. A
-     * caller that is refused instead comes back once only.
+     * Longest wait for a new owner. The hand-over of a range takes about half a second, and a crash
+     * of an owner is detected within 0.1 s. A caller that is refused instead retries only once.
      */
     milliseconds ownerWait{700};
     /**
-     * The wait for an owner is no longer than this part of the latency objective. Of 15,000
-     * requests that waited out 0.7 s on an overloaded fleet of 91 nodes, 650 were served; the
-     * others kept their callers from coming back while there was time for it.
+     * Limit of that wait as a share of the latency objective. Of 15,000 requests that waited for
+     * the full 0.7 s in an overloaded fleet of 91 nodes, 650 were served; the wait kept the callers
+     * of all others from retrying while there was still time to.
      */
     double ownerWaitShare = 0.3;
-    /** But it is at least this long, time enough for a crash to be noticed: a call of a backend
-     *  server that is refused fails the request that needs it, with the work already done for it.
-     */
-    milliseconds leastOwnerWait{250};
-    /** A crash is noticed and the keys are given away within 0.2 s, if the store answers. */
+    /** Lower bound of that limit, sufficient to detect a crash: if a call of a backend server is
+     *  refused, the request that needs it fails and the work already done for it is lost. */
+    milliseconds minOwnerWait{250};
+    /** Longest wait for the owner's backend server. A crash is detected and the keys are reassigned
+     *  within 0.2 s, provided that the store answers. */
     milliseconds backendWait{250};
-    /** With less time than this left, another instance could not answer in time. */
-    milliseconds leastTimeLeft{60};
+    /** With less time than this left, another instance cannot answer before the deadline. */
+    milliseconds minTimeLeft{60};
 };
 
-/** @return What comes next; the caller checks the budget before RepeatAnother. */
-AttemptStep decideNextAttempt(const AttemptEnd &end, const AttemptHistory &history,
+/** @return The next step. For RetryAnother the caller checks the retry budget first. */
+AttemptStep decideNextAttempt(const AttemptResult &end, const AttemptHistory &history,
                               const AttemptLimits &limits);
 
 /**
- * @return What the caller is told. "Has not run" is true only if no attempt has run: a caller that
- *         is told so comes back, and would book twice.
+ * @return Which response the caller gets. It may state that the request has not run only if no
+ *         attempt has run: the caller retries then, and would make a booking twice.
  */
-FinalAnswer chooseFinalAnswer(const AttemptEnd &end, const AttemptHistory &history);
+FinalReply chooseFinalReply(const AttemptResult &end, const AttemptHistory &history);
 
 } // namespace wisteriahoist
--- a/src/decision/request/circuit_breaker.cpp
+++ b/src/decision/request/circuit_breaker.cpp
@@ -1,4 +1,4 @@
-/** @file circuit_breaker.cpp Whether a backend server that turns requests away is sent any more. */
+/** @file circuit_breaker.cpp Circuit breaker for a backend server that refuses requests. */
 
 #include "decision/request/circuit_breaker.h"
 
@@ -12,7 +12,7 @@
         return false;
     }
     if (pause_.count() > 0) {
-        openUntil_ = now + pause_; // This one is the trial; the others wait for its end.
+        openUntil_ = now + pause_; // The trial; others are refused meanwhile.
     }
     return true;
 }
@@ -20,14 +20,14 @@
 void CircuitBreaker::onRefused(TimePoint now)
 {
     ++refusals_;
-    if (refusals_ < limits_.refusalsInRow) {
+    if (refusals_ < limits_.consecutiveRefusals) {
         return;
     }
     pause_ = pause_.count() == 0 ? limits_.firstPause : std::min(pause_ * 2, limits_.longestPause);
     openUntil_ = now + pause_;
 }
 
-void CircuitBreaker::onRun()
+void CircuitBreaker::onExecuted()
 {
     refusals_ = 0;
     pause_ = milliseconds(0);
--- a/src/decision/request/circuit_breaker.h
+++ b/src/decision/request/circuit_breaker.h
@@ -1,4 +1,4 @@
-/** @file circuit_breaker.h Whether a backend server that turns requests away is sent any more. */
+/** @file circuit_breaker.h Circuit breaker for a backend server that refuses requests. */
 
 #pragma once
 
@@ -6,40 +6,41 @@
 
 namespace wisteriahoist {
 
-/** Bounds of the breaker. */
+/** Limits of the breaker. */
 struct BreakerLimits {
-    uint32_t refusalsInRow = 5; ///< That open it; a server that refuses some only rarely does so.
+    uint32_t consecutiveRefusals = 5; ///< To open it; rarely reached if only some are refused.
     milliseconds firstPause{100};
     milliseconds longestPause{800}; ///< The pause doubles up to this while trials are refused.
 };
 
 /**
- * The circuit breaker of the node beside one backend server. A server that refuses all requests
- * although it has free slots looks idle to everybody, draws more of them, and each counts as an
- * attempt there. In a large fleet no first node sends one server enough to notice; the node beside
- * it sees all, refuses in its place, and the first node asks another one.
+ * Circuit breaker of the node beside one backend server. A server that refuses all requests
+ * although it has free slots appears idle to all nodes, attracts more requests, and each of them
+ * uses up an attempt. In a large fleet no single ingress node sends one server enough requests to
+ * detect this. The node beside it sees all of them and refuses on its behalf, so that the ingress
+ * node tries another instance.
  */
 class CircuitBreaker
 {
 public:
     explicit CircuitBreaker(BreakerLimits limits = {}) : limits_(limits) { }
 
-    /** @return Whether a request may be sent; while open, one trial after each pause. */
+    /** @return Whether a request may be sent; while the breaker is open, one trial per pause. */
     bool allow(TimePoint now);
 
-    /** @return Whether requests are being held off. */
+    /** @return Whether requests are being rejected. */
     bool isOpen(TimePoint now) const { return now < openUntil_; }
 
-    /** The backend server has refused a request without running it. */
+    /** The backend server refused a request without running it. */
     void onRefused(TimePoint now);
 
-    /** The backend server has run a request. */
-    void onRun();
+    /** The backend server ran a request. */
+    void onExecuted();
 
 private:
     BreakerLimits limits_;
-    uint32_t refusals_ = 0; ///< In a row.
-    milliseconds pause_{0}; ///< The present one; 0: closed.
+    uint32_t refusals_ = 0; ///< Consecutive ones.
+    milliseconds pause_{0}; ///< Current pause; 0: closed.
     TimePoint openUntil_ = NeverTime;
 };
 
--- a/src/decision/request/deduplication_table.cpp
+++ b/src/decision/request/deduplication_table.cpp
@@ -1,4 +1,5 @@
-/** @file deduplication_table.cpp Which idempotency keys a gate has run, and their answers. */
+/** @file deduplication_table.cpp Idempotency keys that a gate has run, with the stored responses.
+ */
 
 #include "decision/request/deduplication_table.h"
 
@@ -9,7 +10,7 @@
 
 namespace {
 
-constexpr size_t EntryOverheadBytes = 160; ///< Nodes of the map and the list.
+constexpr size_t EntryOverheadBytes = 160; ///< Of the nodes of the map and the list.
 constexpr size_t MaxKeyLength = 255;
 
 bool isPlainCharacter(char character)
@@ -20,10 +21,10 @@
 
 } // namespace
 
-size_t DeduplicationTable::costOf(const Name &name, const Entry &entry) const
+size_t DeduplicationTable::costOf(const EntryKey &name, const Entry &entry) const
 {
     return EntryOverheadBytes + 2 * (name.first.size() + name.second.size())
-           + entry.fingerprint.size() + entry.answer.size();
+           + entry.fingerprint.size() + entry.response.size();
 }
 
 void DeduplicationTable::expire(TimePoint now)
@@ -42,7 +43,7 @@
     if (!attempt.age) {
         return attempt.refuseUnknownAge && owned < limits_.timeToLive;
     }
-    // The stated age is that of the moment of sending; the way here makes the key older.
+    // The age is stated at the time of sending; the transit adds to it.
     const bool firstSending = attempt.age->count() == 0;
     return !firstSending && owned < *attempt.age + limits_.transitMargin;
 }
@@ -50,7 +51,7 @@
 DeduplicationDecision DeduplicationTable::begin(const KeyedAttempt &attempt, TimePoint now)
 {
     expire(now);
-    const Name name{attempt.service, attempt.idempotencyKey};
+    const EntryKey name{attempt.service, attempt.idempotencyKey};
     const auto found = entries_.find(name);
     if (found != entries_.end()) {
         const Entry &entry = found->second;
@@ -63,7 +64,7 @@
         case State::Unknown:
             return {DeduplicationStep::OutcomeUnknown, {}};
         case State::Done:
-            return {DeduplicationStep::Replay, entry.answer};
+            return {DeduplicationStep::Replay, entry.response};
         }
     }
     if (mayHaveRunEarlier(attempt, now)) {
@@ -81,18 +82,18 @@
 }
 
 void DeduplicationTable::finish(const std::string &service, const std::string &idempotencyKey,
-                                std::optional<std::string> answer, TimePoint now)
+                                std::optional<std::string> response, TimePoint now)
 {
     const auto found = entries_.find({service, idempotencyKey});
     if (found == entries_.end() || found->second.state != State::Running) {
         return;
     }
     Entry &entry = found->second;
-    const bool fits = answer && bytes_ + answer->size() <= limits_.bytes;
+    const bool fits = response && bytes_ + response->size() <= limits_.bytes;
     entry.state = fits ? State::Done : State::Unknown;
     if (fits) {
-        bytes_ += answer->size();
-        entry.answer = std::move(*answer);
+        bytes_ += response->size();
+        entry.response = std::move(*response);
     }
     entry.expiry = expiries_.emplace(expiries_.end(), now + limits_.timeToLive, found->first);
 }
--- a/src/decision/request/drain_state.h
+++ b/src/decision/request/drain_state.h
@@ -1,4 +1,4 @@
-/** @file drain_state.h When a node that was told to end may do so. */
+/** @file drain_state.h Decides when a draining node may stop. */
 
 #pragma once
 
@@ -8,29 +8,29 @@
 
 namespace wisteriahoist {
 
-/** Bounds of a graceful shutdown. */
+/** Limits of a graceful shutdown. */
 struct DrainLimits {
-    milliseconds handover{5000}; ///< For the ranges to move; then their owner's lease is given up.
-    milliseconds total{30000};   ///< For everything; what still runs then is cut.
+    milliseconds handover{5000}; ///< For moving the ranges; then the owner's lease is released.
+    milliseconds total{30000};   ///< For the whole shutdown; requests running then are cut off.
 };
 
-/** What is still open at a node. */
+/** What a draining node still has open. */
 struct DrainProgress {
     size_t ownedRanges = 0;
-    size_t callerRequests = 0; ///< At the ingress.
-    size_t gateRequests = 0;   ///< Waiting or running at the gate.
+    size_t callerRequests = 0; ///< Open at the ingress.
+    size_t gateRequests = 0;   ///< Queued or running at the gate.
 };
 
-/** What to do next. */
+/** The next step. */
 enum class DrainStep {
-    Wait,   ///< Ranges or requests are still here.
-    Finish, ///< Nothing is left: end.
-    Cut,    ///< The bound is over: end, and say what was cut.
+    Wait,   ///< Ranges or requests are still open.
+    Finish, ///< Nothing is open: stop.
+    Cut,    ///< The time limit is reached: stop, and log what was cut off.
 };
 
 /**
- * Decides the end of a graceful shutdown. Ranges go first: ending with a range still owned leaves
- * its keys without an owner until the lease has been outwaited.
+ * Decides the end of a graceful shutdown. Ranges are handed over first: if the node stopped while
+ * it owns a range, the keys would have no owner until the lease has expired.
  */
 inline DrainStep decideDrain(const DrainProgress &progress, Duration elapsed,
                              const DrainLimits &limits)
--- a/src/decision/request/fleet_retry_budget.cpp
+++ b/src/decision/request/fleet_retry_budget.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_retry_budget.cpp This node's part of a fleet-wide budget. */
+/** @file fleet_retry_budget.cpp This node's share of a fleet-wide retry budget. */
 
 #include "decision/request/fleet_retry_budget.h"
 
@@ -6,10 +6,10 @@
 
 namespace wisteriahoist {
 
-void FleetRetryBudget::forget(TimePoint now)
+void FleetRetryBudget::dropOld(TimePoint now)
 {
     const TimePoint oldest = now - budget_.window;
-    for (std::deque<TimePoint> *times : {&requests_, &repeats_}) {
+    for (std::deque<TimePoint> *times : {&requests_, &retries_}) {
         while (!times->empty() && times->front() < oldest) {
             times->pop_front();
         }
@@ -18,19 +18,19 @@
 
 void FleetRetryBudget::onRequest(TimePoint now)
 {
-    forget(now);
+    dropOld(now);
     requests_.push_back(now);
 }
 
 bool FleetRetryBudget::tryTake(size_t nodes, TimePoint now)
 {
-    forget(now);
+    dropOld(now);
     const double own = budget_.ratio * static_cast<double>(requests_.size());
     const double slack = budget_.slack / static_cast<double>(std::max<size_t>(1, nodes));
-    if (static_cast<double>(repeats_.size() + 1) > UsedShare * (own + slack)) {
+    if (static_cast<double>(retries_.size() + 1) > UsedShare * (own + slack)) {
         return false;
     }
-    repeats_.push_back(now);
+    retries_.push_back(now);
     return true;
 }
 
--- a/src/decision/request/fleet_retry_budget.h
+++ b/src/decision/request/fleet_retry_budget.h
@@ -1,5 +1,4 @@
-/** @file fleet_retry_budget.h This node's part of a fleet-wide budget for sending requests once
- * more. */
+/** @file fleet_retry_budget.h This node's share of a fleet-wide retry budget. */
 
 #pragma once
 
@@ -10,42 +9,42 @@
 
 namespace wisteriahoist {
 
-/** The budget of one service, over all nodes. */
+/** Limits of the retry budget of one service, over all nodes. */
 struct FleetRetryLimits {
-    double ratio = 0.2; ///< Repeats for each request of the same window.
-    double slack = 60;  ///< Repeats beyond that in one window.
+    double ratio = 0.2; ///< Retries per request of the same window.
+    double slack = 60;  ///< Retries per window in addition to that.
     milliseconds window{10000};
     bool operator==(const FleetRetryLimits &) const = default;
 };
 
 /**
- * Keeps one node within its part of the budget, so that the sum over all nodes holds in every
- * window without any talk between them: the ratio counts this node's own requests, and the slack
- * is divided by the number of nodes. A run that is repeated makes its nested calls again, which
- * count as repeats at the service that they go to; so only a part of the ratio and of the slack is
- * used here, see usedShare.
+ * Keeps one node within its share of the budget, so that the sum over all nodes stays within it in
+ * every window without communication: the ratio applies to this node's own requests, and the slack
+ * is divided by the number of nodes. A retried request makes its nested calls again, and these
+ * count as retries at the service they call, so only the share UsedShare of ratio and slack is used
+ * here.
  */
 class FleetRetryBudget
 {
 public:
-    /** Nested calls of a repeated run add up to 1.4 repeats on the users' sites, and a node that
-     *  has just restarted does not remember what it spent. */
+    /** The nested calls of a retried request amount to 1.4 retries on the users' sites, and a node
+     *  that has just restarted does not know what it has spent. */
     static constexpr double UsedShare = 0.4;
 
     explicit FleetRetryBudget(FleetRetryLimits budget) : budget_(budget) { }
 
     void onRequest(TimePoint now);
 
-    /** @param nodes How many nodes share the budget. @return Whether a repeat may be sent; if so,
-     *          it is counted. */
+    /** @param nodes Number of nodes that share the budget. @return Whether a retry may be sent; if
+     *          so, it is counted. */
     bool tryTake(size_t nodes, TimePoint now);
 
 private:
-    void forget(TimePoint now);
+    void dropOld(TimePoint now);
 
     FleetRetryLimits budget_;
     std::deque<TimePoint> requests_; ///< Of the last window.
-    std::deque<TimePoint> repeats_;  ///< Of the last window.
+    std::deque<TimePoint> retries_;  ///< Of the last window.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/request/inflight_registry.cpp
+++ b/src/decision/request/inflight_registry.cpp
@@ -1,4 +1,4 @@
-/** @file inflight_registry.cpp Which requests a gate has handed over and not seen the end of. */
+/** @file inflight_registry.cpp Requests that a gate has sent and whose end was not observed. */
 
 #include "decision/request/inflight_registry.h"
 
@@ -12,9 +12,9 @@
     return lastId_;
 }
 
-void InflightRegistry::end(uint64_t id, bool settled, TimePoint now)
+void InflightRegistry::end(uint64_t id, bool completed, TimePoint now)
 {
-    if (settled) {
+    if (completed) {
         open_.erase(id);
     }
     dropExpired(now);
@@ -25,7 +25,8 @@
     std::erase_if(open_, [now](const auto &entry) { return entry.second.deadline <= now; });
 }
 
-TimePoint InflightRegistry::lostUntil(const RoutingSnapshot *routing, NodeId self, TimePoint now)
+TimePoint InflightRegistry::lastLostDeadline(const RoutingSnapshot *routing, NodeId self,
+                                             TimePoint now)
 {
     dropExpired(now);
     TimePoint latest = NeverTime;
--- a/src/decision/request/inflight_registry.h
+++ b/src/decision/request/inflight_registry.h
@@ -1,4 +1,4 @@
-/** @file inflight_registry.h Which requests a gate has handed over and not yet seen the end of. */
+/** @file inflight_registry.h Requests that a gate has sent and whose end has not been observed. */
 
 #pragma once
 
@@ -12,35 +12,35 @@
 
 namespace wisteriahoist {
 
-/** One keyed request that was handed over to the backend server. */
+/** A keyed request that was sent to the backend server. */
 struct InflightRequest {
     std::string service;
     KeyHash hash;
-    Epoch epoch;        ///< Of the range at the time of handing over.
-    TimePoint deadline; ///< The backend server was told to have ended by then.
+    Epoch epoch;        ///< Of the range when the request was sent.
+    TimePoint deadline; ///< The backend server must have ended the request by then.
 };
 
 /**
- * Keeps what a change of owner has to wait for.
+ * Registers the requests that a change of owner has to wait for.
  *
- * A request whose end was not seen (connection lost, cancelled) may still run on the backend
- * server. Its entry stays until its deadline; forgetting it earlier lets the next owner start
- * while the old run goes on, which the caller sees as two runs of one key at a time.
+ * A request whose end was not observed (connection lost, cancelled) may still run on the backend
+ * server. Its entry is kept until its deadline: without it, the next owner would start while the
+ * old request is still running, and two requests for one key would run at the same time.
  */
 class InflightRegistry
 {
 public:
-    /** @return The entry's name, for end(). */
+    /** @return The id of the entry, for end(). */
     uint64_t begin(InflightRequest request);
 
-    /** @param settled A whole answer was read, so the run is over. */
-    void end(uint64_t id, bool settled, TimePoint now);
+    /** @param completed Whether a complete response was read, so that the request has ended. */
+    void end(uint64_t id, bool completed, TimePoint now);
 
     /**
-     * @return The latest moment at which a request of a range that @p self no longer owns under
-     *         @p routing, or owns under another epoch, may still run; NeverTime if there is none.
+     * @return The latest time at which a request may still run whose range @p self does not own
+     *         under @p routing, or owns with another epoch; NeverTime if there is none.
      */
-    TimePoint lostUntil(const RoutingSnapshot *routing, NodeId self, TimePoint now);
+    TimePoint lastLostDeadline(const RoutingSnapshot *routing, NodeId self, TimePoint now);
 
     size_t size() const { return open_.size(); }
 
--- a/src/decision/request/keyless_balancer.cpp
+++ b/src/decision/request/keyless_balancer.cpp
@@ -1,4 +1,4 @@
-/** @file keyless_balancer.cpp Which instance gets a request without a key. */
+/** @file keyless_balancer.cpp Load balancing of requests without a key. */
 
 #include "decision/request/keyless_balancer.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** @return The mean over those that have a service time; 1 if none has. */
+/** @return The mean over the instances with a known service time; 1 if there is none. */
 double meanServiceTime(const std::vector<InstanceLoad> &instances)
 {
     double sum = 0;
@@ -29,7 +29,7 @@
     if (now - instance.reportedAt > limits.reportAge) {
         return own / slots;
     }
-    // What was sent since the report is not in it; what is outstanding is running for certain.
+    // The report lacks requests sent after it; outstanding requests are certainly running.
     const double reported
             = instance.reportedRunning
               + static_cast<double>(std::min(instance.sentSinceReport, instance.outstanding));
@@ -53,8 +53,9 @@
             near.push_back(index);
         }
     }
-    const size_t left = near.empty() ? pick(first, count) : near[pick(first, near.size())];
-    const size_t right = count > 1 ? (left + 1 + pick(second, count - 1)) % count : left;
+    const size_t firstIndex = near.empty() ? pick(first, count) : near[pick(first, near.size())];
+    const size_t secondIndex
+            = count > 1 ? (firstIndex + 1 + pick(second, count - 1)) % count : firstIndex;
     const double meanService = meanServiceTime(instances);
     const auto costOf = [&](const InstanceLoad &instance) {
         const double distance = instance.failureDomain == ownDomain ? 0 : limits.localMargin;
@@ -62,8 +63,8 @@
         const double slowness = service > 0 ? service / meanService : 1;
         return estimateLoad(instance, limits, now) * slowness + distance;
     };
-    const InstanceLoad &a = instances[left];
-    const InstanceLoad &b = instances[right];
+    const InstanceLoad &a = instances[firstIndex];
+    const InstanceLoad &b = instances[secondIndex];
     return costOf(b) < costOf(a) ? b.id : a.id;
 }
 
--- a/src/decision/request/keyless_balancer.h
+++ b/src/decision/request/keyless_balancer.h
@@ -1,4 +1,4 @@
-/** @file keyless_balancer.h Which instance gets a request without a key. */
+/** @file keyless_balancer.h Load balancing of requests without a key. */
 
 #pragma once
 
@@ -12,37 +12,40 @@
 
 namespace wisteriahoist {
 
-/** What is known of one instance. */
+/** Known load of one instance. */
 struct InstanceLoad {
     NodeId id;
     std::string_view failureDomain;
     uint32_t slots = 1;
-    uint32_t outstanding = 0;   ///< This node's own requests there, at present.
-    double reportedRunning = 0; ///< By its report; may lag or mislead.
+    uint32_t outstanding = 0;   ///< This node's own requests that are open there.
+    double reportedRunning = 0; ///< From its latest report; may be outdated or wrong.
     TimePoint reportedAt = NeverTime;
     uint32_t sentSinceReport = 0; ///< This node's own requests since that report.
-    milliseconds serviceTime{0};  ///< Mean time that a request runs there; 0: not known.
+    milliseconds serviceTime{0};  ///< Mean service time; 0: not known.
 };
 
-/** How much reports count. */
+/** Limits of the balancer. */
 struct BalancerLimits {
-    milliseconds reportAge{1000}; ///< An older report counts as unknown.
-    double localMargin = 0.1;     ///< The own failure domain is preferred up to so much more load.
+    milliseconds reportAge{1000}; ///< Older reports are ignored.
+    double localMargin = 0.1; ///< Share of the slots by which the own domain may have more load.
 };
 
-/** @return The load of @p instance as a share of its slots; own counts correct the report. */
+/** @return Load of @p instance as a share of its slots: its report, corrected by own counts. */
 double estimateLoad(const InstanceLoad &instance, const BalancerLimits &limits, TimePoint now);
 
 /**
- * Chooses the less loaded of two instances; the own failure domain's wins while it is not hotter.
- * One of the two is drawn from the own domain, so that most requests stay there while it has room:
- * with both from everywhere, in four equal domains 56% left it without need.
- * Where service times are known, a slow instance counts as fuller in proportion to its own over
- * the mean of all: the same number of requests there takes so much longer.
- * Two random choices, and not the least of all: many nodes with the same stale reports would all
- * choose the same instance.
- * @param first, second Random numbers in [0, 1).
- * @return nothing if @p instances is empty.
+ * Chooses the less loaded of two randomly drawn instances. An instance in the own failure domain is
+ * preferred unless its load is higher by more than the margin. One of the two is drawn from the own
+ * failure domain, so that most requests stay there while it has capacity: with both drawn from all
+ * instances of four equal domains, 56% of the requests left their domain unnecessarily.
+ *
+ * Where service times are known, the load of an instance is scaled by the ratio of its service time
+ * to the mean, since the same number of requests keeps a slow instance busy for longer.
+ *
+ * Two random choices are used instead of the least loaded of all, because many nodes with the same
+ * stale reports would all choose the same instance.
+ * @param first, second Uniformly distributed in [0, 1).
+ * @return nullopt if @p instances is empty.
  */
 std::optional<NodeId> chooseInstance(const std::vector<InstanceLoad> &instances,
                                      const std::string &ownDomain, const BalancerLimits &limits,
--- a/src/decision/request/outcome_table.cpp
+++ b/src/decision/request/outcome_table.cpp
@@ -1,4 +1,4 @@
-/** @file outcome_table.cpp What a caller may be told after a failure. */
+/** @file outcome_table.cpp Decides what is reported to the caller of a failed request. */
 
 #include "decision/request/outcome_table.h"
 
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr milliseconds RetrySoon{100};    ///< Slots and queues turn over in this time.
-constexpr milliseconds RetryOwner{200};   ///< A routing change arrives in this time.
-constexpr milliseconds RetryBackend{500}; ///< A backend server is announced in this time.
+constexpr milliseconds RetrySoon{100};    ///< Slots become free within this time.
+constexpr milliseconds RetryOwner{200};   ///< A routing change is received within this time.
+constexpr milliseconds RetryBackend{500}; ///< A backend server is announced within this time.
 
 std::string_view endName(RequestEnd end)
 {
@@ -92,7 +92,7 @@
     }
 }
 
-/** @return Whether the end speaks of an earlier sending of the same key, which may have run. */
+/** @return Whether @p end concerns an earlier request with the same key, which may have run. */
 bool isAboutEarlierSending(RequestEnd end)
 {
     return end == RequestEnd::IdempotencyKeyInProgress
@@ -108,18 +108,18 @@
     return end == RequestEnd::BadAnswer ? 502 : 504;
 }
 
-/** @return Whether no backend server can have begun to run the request. */
+/** @return Whether the request provably did not start to run at any backend server. */
 bool isProvablyNotRun(RequestStage stage, RequestEnd end)
 {
     if (isAboutEarlierSending(end)) {
         return false;
     }
-    // The backend server's own refusal is a proof only if the whole refusal was read: a refusal
-    // cut off half way may have been any answer.
+    // A refusal of the backend server proves this only if it was read completely: a partly read one
+    // may be any response.
     if (end == RequestEnd::BackendRefused) {
         return stage == RequestStage::Answered;
     }
-    // Half a request is no proof: a backend server may act on its head alone.
+    // A partly sent request proves nothing: a backend server may act on its head alone.
     return stage == RequestStage::Received || stage == RequestStage::Queued;
 }
 
--- a/src/decision/request/outlier_detector.cpp
+++ b/src/decision/request/outlier_detector.cpp
@@ -1,4 +1,4 @@
-/** @file outlier_detector.cpp Which instances a node leaves out for a while. */
+/** @file outlier_detector.cpp Ejects instances that fail this node's own requests. */
 
 #include "decision/request/outlier_detector.h"
 
@@ -24,7 +24,7 @@
     State &state = states_[instance];
     ++state.failures;
     const uint32_t enough
-            = state.reportedSick ? limits_.failuresIfReportedSick : limits_.failuresInRow;
+            = state.reportedUnhealthy ? limits_.failuresIfUnhealthy : limits_.consecutiveFailures;
     if (state.failures < enough || now < state.ejectedUntil) {
         return;
     }
@@ -37,7 +37,7 @@
 
 void OutlierDetector::onReport(NodeId instance, bool healthy)
 {
-    states_[instance].reportedSick = !healthy;
+    states_[instance].reportedUnhealthy = !healthy;
 }
 
 std::vector<NodeId> OutlierDetector::usable(const std::vector<NodeId> &instances,
@@ -54,7 +54,7 @@
             kept.push_back(instance);
         }
     }
-    // Over the bound, those whose ejection ends first are used again.
+    // Beyond the limit, the instances whose ejection ends first are used again.
     std::sort(ejected.begin(), ejected.end());
     const auto most
             = static_cast<size_t>(limits_.largestShare * static_cast<double>(instances.size()));
--- a/src/decision/request/outlier_detector.h
+++ b/src/decision/request/outlier_detector.h
@@ -1,5 +1,4 @@
-/** @file outlier_detector.h Which instances a node leaves out for a while, by what it saw itself.
- */
+/** @file outlier_detector.h Ejects instances that fail this node's own requests. */
 
 #pragma once
 
@@ -11,22 +10,23 @@
 
 namespace wisteriahoist {
 
-/** Bounds of ejection. */
+/** Limits of ejection. */
 struct OutlierLimits {
-    uint32_t failuresInRow = 5;          ///< Own observations; reported health alone never ejects.
-    uint32_t failuresIfReportedSick = 2; ///< Enough when the instance's own report agrees.
-    milliseconds firstEjection{1000};    ///< Doubles with each ejection in a row.
+    uint32_t consecutiveFailures = 5; ///< Own observations; a health report alone never ejects.
+    uint32_t failuresIfUnhealthy = 2; ///< The same if the instance reports itself unhealthy.
+    milliseconds firstEjection{1000}; ///< Doubles with each consecutive ejection.
     milliseconds longestEjection{30000};
-    double largestShare = 0.34; ///< Of a service's instances ejected at once.
+    double largestShare = 0.34; ///< Of a service's instances that may be ejected at once.
 };
 
 /**
- * Leaves out instances that failed this node's own requests. Reports lag and lie, so they only
- * lower the number of failures that is needed. At most a share is ejected at once: with a common
- * cause all instances fail, and ejecting them all would turn slow answers into none.
+ * Ejects instances that failed this node's own requests. Health reports may be late or wrong, so
+ * they only lower the number of failures that is required. At most a share of the instances is
+ * ejected at once: with a common cause all instances fail, and ejecting all of them would turn slow
+ * responses into none.
  *
- * Only requests without a key ask here; a keyed request goes to its owner whatever it did, since
- * no other instance may serve it.
+ * It applies only to requests without a key; a keyed request is sent to its owner in any case,
+ * since no other instance may serve it.
  */
 class OutlierDetector
 {
@@ -36,20 +36,20 @@
     void onSuccess(NodeId instance);
     void onFailure(NodeId instance, TimePoint now);
 
-    /** The instance's own word on its health. */
+    /** The instance has reported its own health. */
     void onReport(NodeId instance, bool healthy);
 
-    /** @return Those of @p instances that may be used; never empty unless @p instances is. */
+    /** @return Those of @p instances that are not ejected; never empty unless @p instances is. */
     std::vector<NodeId> usable(const std::vector<NodeId> &instances, TimePoint now) const;
 
-    /** Forgets all but @p instances. */
+    /** Drops the state of all but @p instances. */
     void keepOnly(const std::vector<NodeId> &instances);
 
 private:
     struct State {
-        uint32_t failures = 0;  ///< In a row.
-        uint32_t ejections = 0; ///< In a row.
-        bool reportedSick = false;
+        uint32_t failures = 0;  ///< Consecutive ones.
+        uint32_t ejections = 0; ///< Consecutive ones.
+        bool reportedUnhealthy = false;
         TimePoint ejectedUntil = NeverTime;
     };
 
--- a/src/decision/request/retry_policy.cpp
+++ b/src/decision/request/retry_policy.cpp
@@ -1,4 +1,4 @@
-/** @file retry_policy.cpp Whether, and after what pause, a request is tried again. */
+/** @file retry_policy.cpp Decides whether and after which back-off a request is retried. */
 
 #include "decision/request/retry_policy.h"
 
--- a/src/decision/request/retry_policy.h
+++ b/src/decision/request/retry_policy.h
@@ -1,4 +1,4 @@
-/** @file retry_policy.h Whether, and after what pause, a request is tried again. */
+/** @file retry_policy.h Decides whether and after which back-off a request is retried. */
 
 #pragma once
 
@@ -6,19 +6,19 @@
 
 namespace wisteriahoist {
 
-/** Bounds of one service's retries. */
+/** Limits of one service's retries. */
 struct RetryLimits {
     double share = 0.1;           ///< Retries per recent success.
-    double reserve = 10;          ///< Retries that a service without recent successes may make.
-    uint32_t attempts = 3;        ///< Tries of one request, the first included.
-    milliseconds firstPause{5};   ///< Doubles with each try.
-    milliseconds halfLife{10000}; ///< After this time a success counts half.
+    double reserve = 10;          ///< Retries allowed without recent successes.
+    uint32_t attempts = 3;        ///< Attempts of one request, the first included.
+    milliseconds firstPause{5};   ///< Initial back-off; doubles with each attempt.
+    milliseconds halfLife{10000}; ///< Of the weight of a success.
 };
 
 /**
- * The retry budget of one service. Retries beyond a share of recent successes are not made: when
- * all requests fail, each retry would add load to what is already failing, and the callers would
- * see the failure last for as long as they keep asking.
+ * The retry budget of one service. Retries are limited to a share of the recent successes: when all
+ * requests fail, each retry adds load to what is already failing, and would prolong the failure for
+ * as long as callers keep sending requests.
  */
 class RetryBudget
 {
@@ -27,7 +27,7 @@
 
     void onSuccess(TimePoint now);
 
-    /** @return Whether a retry may be made; if so, it has been taken from the budget. */
+    /** @return Whether a retry may be made; if so, it is counted against the budget. */
     bool tryTake(TimePoint now);
 
     const RetryLimits &limits() const { return limits_; }
@@ -37,30 +37,30 @@
 
     RetryLimits limits_;
     double successes_ = 0; ///< Decays by half each halfLife.
-    double taken_ = 0;     ///< Decays alike. Invariant: at most share * successes + reserve, when
-                           ///< a retry is taken.
+    double taken_ = 0;     ///< Decays likewise. Invariant: at most share * successes + reserve,
+                           ///< when a retry is taken.
     TimePoint decayedAt_ = NeverTime;
 };
 
-/** What is known of a try that failed. */
+/** An attempt that failed. */
 struct FailedAttempt {
     Outcome outcome = Outcome::Unknown;
-    bool idempotent = false;    ///< The declared rule says so.
-    uint32_t attempt = 0;       ///< 0: this was the first.
-    milliseconds retryAfter{0}; ///< What the other side asked for.
+    bool idempotent = false;    ///< As declared by the rule.
+    uint32_t attempt = 0;       ///< 0: the first.
+    milliseconds retryAfter{0}; ///< Requested by the other side.
     Duration deadlineLeft{0};
 };
 
-/** Whether to try again. */
+/** Whether and when to retry. */
 struct RetryDecision {
     bool retry = false;
     milliseconds pause{0};
 };
 
 /**
- * Decides for the node that received the request; no other node on the way retries, so that the
- * tries of one request are at most RetryLimits::attempts whatever the number of hops.
- * @param jitter In [0, 1): spreads the pauses of many callers.
+ * Decides for the node that received the request. No other node on the path retries, so that one
+ * request makes at most RetryLimits::attempts attempts, independent of the number of hops.
+ * @param jitter In [0, 1): spreads the back-off of many callers.
  */
 RetryDecision decideRetry(const FailedAttempt &failed, RetryBudget &budget, double jitter,
                           TimePoint now);
--- a/src/decision/request/route_resolver.cpp
+++ b/src/decision/request/route_resolver.cpp
@@ -1,4 +1,4 @@
-/** @file route_resolver.cpp Finds a request's service, rule and key. */
+/** @file route_resolver.cpp Resolves the service, rule and key of a request. */
 
 #include "decision/request/route_resolver.h"
 
@@ -86,11 +86,11 @@
     ResolvedRequest resolved;
     resolved.service = serviceFor(declarations, head.host);
     if (resolved.service == nullptr) {
-        return Failure{FailureCode::NotFound, "no service is declared for this host"};
+        return Failure{FailureCode::NotFound, "no service is declared for the request's host"};
     }
     resolved.rule = ruleFor(*resolved.service, head);
     if (resolved.rule == nullptr) {
-        return Failure{FailureCode::NotFound, "no rule of the service matches"};
+        return Failure{FailureCode::NotFound, "no rule of the service matches the request"};
     }
     if (!resolved.rule->keyed) {
         return resolved;
@@ -98,7 +98,7 @@
     resolved.key = keyOf(resolved.service->keySpace, head);
     if (resolved.key.empty()) {
         return Failure{FailureCode::BadArgument,
-                       "the request carries no key at the declared place"};
+                       "the request has no key at the place that its service declares"};
     }
     resolved.hash = hashKey(resolved.key, resolved.service->keySpace.hashSeed);
     return resolved;
--- a/src/decision/request/route_resolver.h
+++ b/src/decision/request/route_resolver.h
@@ -1,4 +1,4 @@
-/** @file route_resolver.h Finds a request's service, rule and key. */
+/** @file route_resolver.h Resolves the service, rule and key of a request. */
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace wisteriahoist {
 
-/** The parts of a request that decide where it goes. */
+/** The parts of a request that determine its route. */
 struct RequestHead {
     std::string_view method;
     std::string_view target; ///< Path and query as received.
@@ -20,9 +20,9 @@
     std::function<std::string_view(std::string_view name)> header; ///< Empty if absent.
 };
 
-/** Where a request goes. */
+/** The route of a request. */
 struct ResolvedRequest {
-    const ServiceDeclaration *service = nullptr; ///< Points into the declarations given.
+    const ServiceDeclaration *service = nullptr; ///< Points into the given declarations.
     const RouteRule *rule = nullptr;
     std::string key; ///< Empty if the rule is not keyed.
     KeyHash hash;
--- a/src/duty/backend_gate.cpp
+++ b/src/duty/backend_gate.cpp
@@ -1,4 +1,4 @@
-/** @file backend_gate.cpp The last point before the backend server beside this node. */
+/** @file backend_gate.cpp Final admission before the backend server beside this node. */
 
 #include "duty/backend_gate.h"
 
@@ -11,16 +11,17 @@
 
 namespace {
 
-/** A new connection to the same VM is there in about a millisecond, or not at all. */
+/** A connection within one VM opens in about a millisecond or not at all. */
 constexpr milliseconds ConnectTimeout{300};
 /**
- * Few requests run for longer. A node that has to stop while nobody can take its keys over serves
- * them to its end; a request that still runs then is cut off, and its caller can't tell whether it
- * has run. Turned away for so long before the end, it is told that it has not.
+ * Few requests run for longer than this. A node that stops while no other node can take over its
+ * keys serves them until its process ends; a request that is running then is cut off, and its
+ * caller cannot determine whether it has run. Requests that arrive within this time before the end
+ * are therefore refused as not run.
  */
-constexpr milliseconds LongWork{1500};
-/** Nobody is handed a request with less time than this: its answer could not come back in time. */
-constexpr milliseconds LeastTimeLeft{10};
+constexpr milliseconds LongRequestTime{1500};
+/** A request with less time than this left is refused: its response would arrive too late. */
+constexpr milliseconds MinTimeLeft{10};
 
 PoolLimits makePoolLimits()
 {
@@ -36,7 +37,7 @@
     return hashKey(request.route(), 0).value();
 }
 
-milliseconds leftUntil(TimePoint end, TimePoint now)
+milliseconds timeUntil(TimePoint end, TimePoint now)
 {
     return std::max(std::chrono::duration_cast<milliseconds>(end - now), milliseconds(1));
 }
@@ -45,9 +46,9 @@
 
 BackendGate::BackendGate(asio::io_context &context, const Clock &clock,
                          const RequestProtocol &protocol, const std::string &ip, uint16_t port,
-                         BackendMonitor &monitor, KeyOwnership &holding)
-    : context_(context), clock_(clock), protocol_(protocol), monitor_(monitor), holding_(holding),
-      client_(context.get_executor(), ip, port, makePoolLimits())
+                         BackendMonitor &monitor, KeyOwnership &ownership)
+    : context_(context), clock_(clock), protocol_(protocol), monitor_(monitor),
+      ownership_(ownership), client_(context.get_executor(), ip, port, makePoolLimits())
 {
     monitor_.setBusyCheck([this]() { return isWorking(); });
 }
@@ -69,20 +70,20 @@
 {
     v1::BackendLoad load;
     load.set_running(admission_.running());
-    // Others take a backend server that turns all away for as full as it acts.
-    const uint32_t heldOff = breaker_.isOpen(now) ? admission_.slots() : 0;
-    load.set_waiting(static_cast<uint32_t>(admission_.waiting()) + heldOff);
+    // While the breaker is open, the reported load is full, so that other nodes avoid the server.
+    const uint32_t blockedSlots = breaker_.isOpen(now) ? admission_.slots() : 0;
+    load.set_waiting(static_cast<uint32_t>(admission_.waiting()) + blockedSlots);
     load.set_slots(admission_.slots());
     const auto service = std::chrono::duration_cast<milliseconds>(admission_.serviceTime());
     load.set_service_ms(static_cast<uint32_t>(service.count()));
-    load.set_busy_slots(holding_.demand(now));
-    load.set_leaving(holding_.isLeaving());
+    load.set_busy_slots(ownership_.demand(now));
+    load.set_leaving(ownership_.isLeaving());
     return load;
 }
 
 bool BackendGate::mayOutlive(TimePoint deadline, TimePoint now) const
 {
-    return endsAt_ && std::min(deadline, now + LongWork) > *endsAt_;
+    return shutdownDeadline_ && std::min(deadline, now + LongRequestTime) > *shutdownDeadline_;
 }
 
 RequestEnd BackendGate::check(const v1::HopRequest &request, const Call &call, TimePoint now) const
@@ -90,20 +91,21 @@
     if (call.cancelled) {
         return RequestEnd::CallerGone;
     }
-    if ((closed_ && !request.keyed()) || mayOutlive(call.deadline, now)
+    if ((rejectsKeyless_ && !request.keyed()) || mayOutlive(call.deadline, now)
         || monitor_.state() != BackendState::Ready || monitor_.service() != request.service()) {
         return RequestEnd::NoBackend;
     }
-    if (now + LeastTimeLeft >= call.deadline) {
+    if (now + MinTimeLeft >= call.deadline) {
         return RequestEnd::DeadlineOver;
     }
-    return request.keyed() ? holding_.check(ShardKey(request.shard_key()), now) : RequestEnd::None;
+    return request.keyed() ? ownership_.check(ShardKey(request.shard_key()), now)
+                           : RequestEnd::None;
 }
 
 asio::awaitable<v1::HopReply> BackendGate::run(v1::HopRequest request)
 {
     v1::HopReply reply;
-    const CallName name{request.origin_node(), request.request_id()};
+    const CallId name{request.origin_node(), request.request_id()};
     auto call = std::make_shared<Call>(context_);
     call->deadline = clock_.now() + milliseconds(request.deadline_left_ms());
     calls_[name] = call;
@@ -136,8 +138,8 @@
         reply.set_retry_after_ms(std::max(retryAfter, reply.retry_after_ms()));
         co_return;
     }
-    // What was checked before the wait may have changed: a queued request outlives the move of its
-    // key, and would otherwise run beside the new holder's.
+    // The checks made before the wait may no longer hold: a queued request may outlast the
+    // hand-over of its key, and would run at the same time as the new owner's requests.
     refusal = check(request, *call, clock_.now());
     if (refusal != RequestEnd::None) {
         admission_.onEnd(kindOf(request), std::nullopt);
@@ -146,17 +148,17 @@
         wakeNext();
         co_return;
     }
-    co_await handOver(request, *call, reply);
+    co_await sendToBackend(request, *call, reply);
 }
 
-/** A first node whose table is older than this one's sends the request on without a wait. */
+/** Names the owner, so that an ingress node with an older table can retry there without waiting. */
 void BackendGate::nameOwner(const v1::HopRequest &request, RequestEnd refusal,
                             v1::HopReply &reply) const
 {
     if (refusal != RequestEnd::NotOwner) {
         return;
     }
-    if (const std::optional<KeyOwner> owner = holding_.ownerOf(ShardKey(request.shard_key()))) {
+    if (const std::optional<KeyOwner> owner = ownership_.ownerOf(ShardKey(request.shard_key()))) {
         reply.set_owner_node(owner->node.value());
         reply.set_epoch(owner->fence.value());
     }
@@ -179,7 +181,7 @@
     if (decision.step == AdmissionDecision::Step::Refuse) {
         reply.set_retry_after_ms(decision.retryAfter.count());
         if (request.keyed()) {
-            holding_.recordBusyTime(ShardKey(request.shard_key()), admission_.serviceTime(), now);
+            ownership_.recordBusyTime(ShardKey(request.shard_key()), admission_.serviceTime(), now);
         }
         co_return RequestEnd::Overloaded;
     }
@@ -195,34 +197,34 @@
     co_return call->cancelled ? RequestEnd::CallerGone : RequestEnd::QueueTimeout;
 }
 
-asio::awaitable<void> BackendGate::handOver(const v1::HopRequest &request, Call &call,
-                                            v1::HopReply &reply)
+asio::awaitable<void> BackendGate::sendToBackend(const v1::HopRequest &request, Call &call,
+                                                 v1::HopReply &reply)
 {
     const TimePoint startedAt = clock_.now();
     HttpRequest forwarded = makeForwardedRequest(request);
-    BackendMetadata terms;
-    terms.timeLeft = leftUntil(call.deadline, startedAt);
-    terms.backend = monitor_.backend().id;
-    terms.callerService = request.caller_service();
-    protocol_.setMetadata(forwarded, terms);
+    BackendMetadata metadata;
+    metadata.timeLeft = timeUntil(call.deadline, startedAt);
+    metadata.backend = monitor_.backend().id;
+    metadata.callerService = request.caller_service();
+    protocol_.setMetadata(forwarded, metadata);
     call.control->setResponseFilter([this, attemptId
                                            = request.attempt_id()](const HttpResponse &response) {
         return protocol_.classifyResponse(response, attemptId) != ResponseKind::WrongRequest;
     });
     const std::shared_ptr<ExchangeControl> control = call.control;
     Result<HttpResponse> answer
-            = co_await client_.exchange(std::move(forwarded), terms.timeLeft, control);
+            = co_await client_.exchange(std::move(forwarded), metadata.timeLeft, control);
     const TimePoint now = clock_.now();
     if (request.keyed()) {
-        holding_.recordBusyTime(ShardKey(request.shard_key()), now - startedAt, now);
+        ownership_.recordBusyTime(ShardKey(request.shard_key()), now - startedAt, now);
     }
     if (answer) {
-        noteMonitorChange(monitor_.onAnswer(now));
+        notifyMonitorChange(monitor_.onAnswer(now));
         admission_.onEnd(kindOf(request), now - startedAt);
         if (duration_ != nullptr) {
             duration_->observe(std::chrono::duration<double>(now - startedAt).count());
         }
-        fillFromAnswer(request, std::move(answer.assume_value()), reply);
+        fillFromResponse(request, std::move(answer.assume_value()), reply);
     } else {
         admission_.onEnd(kindOf(request), std::nullopt);
         fillFromFailure(answer.assume_error(), call, reply);
@@ -230,24 +232,24 @@
     wakeNext();
 }
 
-void BackendGate::fillFromAnswer(const v1::HopRequest &request, HttpResponse answer,
-                                 v1::HopReply &reply)
+void BackendGate::fillFromResponse(const v1::HopRequest &request, HttpResponse answer,
+                                   v1::HopReply &reply)
 {
     const ResponseKind kind = protocol_.classifyResponse(answer, request.attempt_id());
     if (kind == ResponseKind::WrongIncarnation) {
         fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
-        noteMonitorChange(
+        notifyMonitorChange(
                 monitor_.onOtherIncarnation(protocol_.namedBackend(answer), clock_.now()));
     } else if (kind == ResponseKind::NotExecuted) {
         fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
         breaker_.onRefused(clock_.now());
     } else if (kind != ResponseKind::Complete || impliesNotExecuted(answer.result_int())) {
-        // A bare 503 of a backend server does not prove that the request has not run; passed on,
-        // the caller would take it for such a proof and repeat a booking.
+        // A 503 of a backend server without the not-executed marker does not prove that the request
+        // has not run. Passed on, it would be taken as such a proof, and a booking made twice.
         fillOutcome(reply, RequestStage::Sent, RequestEnd::BadAnswer);
     } else {
-        fillAnswer(reply, std::move(answer), request.method() == "HEAD");
-        breaker_.onRun();
+        fillResponse(reply, std::move(answer), request.method() == "HEAD");
+        breaker_.onExecuted();
     }
     reply.set_reached_backend(true);
 }
@@ -256,13 +258,13 @@
 {
     const bool neverSent = failure.code == FailureCode::Unavailable;
     const RequestStage stage = neverSent ? RequestStage::Queued : call.control->stage();
-    fillOutcome(reply, stage, endOfExchange(failure.code, call.control->isCancelled()));
+    fillOutcome(reply, stage, requestEndOfExchange(failure.code, call.control->isCancelled()));
     reply.set_reached_backend(!neverSent);
     if (call.control->isRefused()) {
-        noteMonitorChange(monitor_.onRefusedConnection());
+        notifyMonitorChange(monitor_.onRefusedConnection());
     }
-    if (suspicion_ && !call.control->isCancelled()) {
-        suspicion_();
+    if (connectionFailed_ && !call.control->isCancelled()) {
+        connectionFailed_();
     }
 }
 
@@ -279,7 +281,7 @@
     }
 }
 
-void BackendGate::noteMonitorChange(bool changed)
+void BackendGate::notifyMonitorChange(bool changed)
 {
     if (changed && monitorChanged_) {
         monitorChanged_();
--- a/src/duty/backend_gate.h
+++ b/src/duty/backend_gate.h
@@ -1,4 +1,4 @@
-/** @file backend_gate.h The last point before the backend server beside this node. */
+/** @file backend_gate.h Final admission before the backend server beside this node. */
 
 #pragma once
 
@@ -18,75 +18,79 @@
 
 namespace wisteriahoist {
 
-/** Another node that holds a key. */
+/** Another node that owns a key. */
 struct KeyOwner {
     NodeId node;
-    Epoch fence; ///< Under which it does; an older table has a lower one.
+    Epoch fence; ///< Fencing token of its ownership; an older table has a lower one.
 };
 
-/** Tells the gate which keys its backend server holds, and learns what they cost. */
+/** Ownership of keys by this node, as the gate needs it; also records the cost of each key. */
 class KeyOwnership
 {
 public:
     virtual ~KeyOwnership() = default;
 
-    /** @return None if a request for @p key may be handed over at @p now; else NotOwner for a key
-     *          that is on its way, NoLease if nobody may serve it for longer. */
+    /** @return None if a request for @p key may be sent at @p now; NotOwner if the key is being
+     *          handed over or belongs to another node; NoLease if no node can serve it soon. */
     virtual RequestEnd check(ShardKey key, TimePoint now) const = 0;
 
-    /** @return Who holds @p key now, by the newest table that is known here; nullopt if that is
-     * this node or nobody. */
+    /** @return The owner of @p key by the newest table known here; nullopt if it is this node or
+     *          there is none. */
     virtual std::optional<KeyOwner> ownerOf(ShardKey key) const = 0;
 
-    /** A request for @p key kept a slot busy, or would have if there had been room. */
+    /** A request for @p key kept a slot busy, or would have done so if it had been admitted. */
     virtual void recordBusyTime(ShardKey key, Duration busy, TimePoint now) = 0;
 
-    /** @return Mean of the slots that keyed requests asked for in the last seconds. */
+    /** @return Mean number of slots that keyed requests required during the last seconds. */
     virtual double demand(TimePoint now) = 0;
 
-    /** @return Whether no keys are to be given to this node any more. */
+    /** @return Whether this node must not be given any more keys. */
     virtual bool isLeaving() const = 0;
 };
 
 /**
- * Admits requests, runs them at the backend server and returns whole answers. It is the only way
- * to the backend server, so what it refuses has provably not run. Used by one thread.
+ * Admits requests, runs them at the backend server and returns complete responses. It is the only
+ * path to the backend server, so a request that it refuses has provably not run. Used by one
+ * thread.
  */
 class BackendGate
 {
 public:
     BackendGate(asio::io_context &context, const Clock &clock, const RequestProtocol &protocol,
                 const std::string &ip, uint16_t port, BackendMonitor &monitor,
-                KeyOwnership &holding);
+                KeyOwnership &ownership);
 
-    /** Runs one request or says why not. */
+    /** Runs one request or refuses it. */
     asio::awaitable<v1::HopReply> run(v1::HopRequest request);
 
-    /** The caller of a request has gone: it stops waiting, or its work is cut off. */
+    /** The caller of a request has disconnected: removes it from the queue or cancels it. */
     void cancel(uint64_t originNode, uint64_t requestId);
 
-    /** Takes over the monitor's state after a report. */
+    /** Applies the monitor's state after a report. */
     void onBackendChange();
 
     /**
-     * The node ends soon: from now on no requests without a key are admitted, since others can
-     * serve them; those with a key are, as long as the key is held here.
+     * This node stops soon: from now on requests without a key are refused, since other nodes can
+     * serve them. Requests with a key are still admitted while this node owns the key.
      */
-    void rejectKeyless() { closed_ = true; }
+    void rejectKeyless() { rejectsKeyless_ = true; }
 
-    /** The process ends at @p end at the latest: no request is admitted that may run beyond it. */
-    void setShutdownDeadline(TimePoint end) { endsAt_ = end; }
+    /** The process ends at @p end at the latest: refuses requests that may run beyond it. */
+    void setShutdownDeadline(TimePoint end) { shutdownDeadline_ = end; }
 
-    /** @return Whether a request with @p deadline may still run when the process ends. */
+    /** @return Whether a request with @p deadline may still be running when the process ends. */
     bool mayOutlive(TimePoint deadline, TimePoint now) const;
 
-    /** @param action Runs when requests show that the backend server's state has changed. */
+    /** @param action Called when requests show that the backend server's state has changed. */
     void onMonitorChange(std::function<void()> action) { monitorChanged_ = std::move(action); }
 
-    /** @param action Runs when a connection to the backend server was refused or lost. */
-    void onConnectionFailure(std::function<void()> action) { suspicion_ = std::move(action); }
+    /** @param action Called when a connection to the backend server was refused or lost. */
+    void onConnectionFailure(std::function<void()> action)
+    {
+        connectionFailed_ = std::move(action);
+    }
 
-    /** @param duration Gets the seconds that each answered request took there. */
+    /** @param duration Observes the seconds that each answered request took there. */
     void observeWith(Histogram &duration) { duration_ = &duration; }
 
     v1::BackendLoad load(TimePoint now);
@@ -97,13 +101,13 @@
 private:
     struct Call {
         explicit Call(asio::io_context &context) : timer(context) { }
-        asio::steady_timer timer; ///< While it waits for a slot.
+        asio::steady_timer timer; ///< Runs while the request waits for a slot.
         std::shared_ptr<ExchangeControl> control = std::make_shared<ExchangeControl>();
         TimePoint deadline;
         bool granted = false;
         bool cancelled = false;
     };
-    using CallName = std::pair<uint64_t, uint64_t>; ///< Origin node and its request id.
+    using CallId = std::pair<uint64_t, uint64_t>; ///< Originating node and its request id.
 
     RequestEnd check(const v1::HopRequest &request, const Call &call, TimePoint now) const;
     bool isWorking() const;
@@ -112,27 +116,28 @@
                                           v1::HopReply &reply);
     asio::awaitable<void> serve(const v1::HopRequest &request, std::shared_ptr<Call> call,
                                 v1::HopReply &reply);
-    asio::awaitable<void> handOver(const v1::HopRequest &request, Call &call, v1::HopReply &reply);
-    void fillFromAnswer(const v1::HopRequest &request, HttpResponse answer, v1::HopReply &reply);
+    asio::awaitable<void> sendToBackend(const v1::HopRequest &request, Call &call,
+                                        v1::HopReply &reply);
+    void fillFromResponse(const v1::HopRequest &request, HttpResponse answer, v1::HopReply &reply);
     void fillFromFailure(const Failure &failure, const Call &call, v1::HopReply &reply);
     void wakeNext();
-    void noteMonitorChange(bool changed);
+    void notifyMonitorChange(bool changed);
 
     asio::io_context &context_;
     const Clock &clock_;
     const RequestProtocol &protocol_;
     BackendMonitor &monitor_;
-    KeyOwnership &holding_;
+    KeyOwnership &ownership_;
     HttpClient client_;
     AdmissionControl admission_{AdmissionLimits{}};
     CircuitBreaker breaker_;
-    std::map<CallName, std::shared_ptr<Call>> calls_;
+    std::map<CallId, std::shared_ptr<Call>> calls_;
     std::map<uint64_t, std::shared_ptr<Call>> waiting_; ///< By admission id.
     uint64_t lastId_ = 0;
-    bool closed_ = false;
-    std::optional<TimePoint> endsAt_; ///< Of a node that stops.
+    bool rejectsKeyless_ = false;
+    std::optional<TimePoint> shutdownDeadline_; ///< Latest end of the process, if it is stopping.
     std::function<void()> monitorChanged_;
-    std::function<void()> suspicion_;
+    std::function<void()> connectionFailed_;
     Histogram *duration_ = nullptr;
 };
 
--- a/src/duty/backend_health_checker.cpp
+++ b/src/duty/backend_health_checker.cpp
@@ -1,5 +1,5 @@
-/** @file backend_health_checker.cpp Looks at the backend server when its heartbeats or connections
- * fail. */
+/** @file backend_health_checker.cpp Active health checks of the backend server on suspected
+ * failure. */
 
 #include "duty/backend_health_checker.h"
 
@@ -27,7 +27,7 @@
 
 void BackendHealthChecker::requestCheck()
 {
-    suspected_ = true;
+    checkRequested_ = true;
     timer_.cancel();
 }
 
@@ -35,44 +35,44 @@
 {
     const bool listening
             = monitor_.state() == BackendState::Ready || monitor_.state() == BackendState::Draining;
-    const bool late = listening && now - monitor_.heardAt() > heartbeat_ * times_.missedHeartbeats;
-    // One that refused connections for lack of them is found out by a pollOnce sooner than by its
-    // next heartbeat, which may come late; until then callers are turned away.
-    return suspected_ || late || monitor_.refusesConnections();
+    const bool late = listening && now - monitor_.heardAt() > heartbeat_ * limits_.missedHeartbeats;
+    // A server that refused connections because it had too many is found to be up by a check sooner
+    // than by its next heartbeat, which may be late; until then callers are refused.
+    return checkRequested_ || late || monitor_.refusesConnections();
 }
 
 asio::awaitable<void> BackendHealthChecker::run()
 {
     while (true) {
         if (isDue(clock_.now())) {
-            co_await pollOnce();
+            co_await check();
         }
-        timer_.expires_after(suspected_ ? times_.betweenLooks : heartbeat_);
+        timer_.expires_after(checkRequested_ ? limits_.checkInterval : heartbeat_);
         boost::system::error_code ignored;
         co_await timer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     }
 }
 
-asio::awaitable<void> BackendHealthChecker::pollOnce()
+asio::awaitable<void> BackendHealthChecker::check()
 {
-    const BackendStatus sight = co_await backend_.pollOnce(times_.lookTimeout);
+    const BackendStatus status = co_await backend_.pollOnce(limits_.checkTimeout);
     bool changed = false;
-    if (sight.answered) {
-        silentLooks_ = 0;
-        suspected_ = false;
-        if (!sight.backend.empty() && sight.backend != monitor_.backend().id) {
-            changed = monitor_.onOtherIncarnation(sight.backend, clock_.now());
+    if (status.answered) {
+        unanswered_ = 0;
+        checkRequested_ = false;
+        if (!status.backend.empty() && status.backend != monitor_.backend().id) {
+            changed = monitor_.onOtherIncarnation(status.backend, clock_.now());
         } else {
             changed = monitor_.onAnswer(clock_.now());
         }
-    } else if (sight.refusedConnection) {
+    } else if (status.refusedConnection) {
         changed = monitor_.onRefusedConnection();
-        suspected_ = monitor_.state() != BackendState::Down
-                     && monitor_.state() != BackendState::Absent;
+        checkRequested_ = monitor_.state() != BackendState::Down
+                          && monitor_.state() != BackendState::Absent;
     } else {
-        suspected_ = ++silentLooks_ < times_.silentLooks;
-        if (!suspected_) {
-            silentLooks_ = 0;
+        checkRequested_ = ++unanswered_ < limits_.maxUnanswered;
+        if (!checkRequested_) {
+            unanswered_ = 0;
             changed = monitor_.onNoResponse();
         }
     }
--- a/src/duty/backend_health_checker.h
+++ b/src/duty/backend_health_checker.h
@@ -1,5 +1,5 @@
-/** @file backend_health_checker.h Looks at the backend server when its heartbeats or connections
- * fail. */
+/** @file backend_health_checker.h Active health checks of the backend server on suspected failure.
+ */
 
 #pragma once
 
@@ -13,19 +13,19 @@
 
 namespace wisteriahoist {
 
-/** When the watch looks. */
-struct WatchTimes {
-    /** Heartbeats may be seconds late; so many missing ones are worth a pollOnce. */
+/** Limits of the health checks. */
+struct HealthCheckLimits {
+    /** Heartbeats may be seconds late; after this many missing ones a check is made. */
     uint32_t missedHeartbeats = 3;
-    milliseconds lookTimeout{500};  ///< It answers within a millisecond, or when a slot is free.
-    milliseconds betweenLooks{100}; ///< While something is wrong.
-    uint32_t silentLooks = 3;       ///< Unanswered ones in a row that make it Down.
+    milliseconds checkTimeout{500};  ///< A check takes about 1 ms, or until a slot is free.
+    milliseconds checkInterval{100}; ///< While a failure is suspected.
+    uint32_t maxUnanswered = 3;      ///< Consecutive unanswered checks after which it is Down.
 };
 
 /**
- * Heartbeats say that a backend server lives, nothing says that it has died. Each pollOnce takes a
- * slot for a moment and is paid for, so there are none while heartbeats arrive and connections
- * work.
+ * Heartbeats show that a backend server is alive, but nothing reports that it has ended. A health
+ * check occupies a slot for a moment and is charged for, so none are made while heartbeats arrive
+ * and connections work.
  */
 class BackendHealthChecker
 {
@@ -34,15 +34,15 @@
                          BackendControl &backend, BackendMonitor &monitor, milliseconds heartbeat,
                          std::function<void()> changed);
 
-    /** Looks once at the start: a node that restarts learns at once which life is there. */
+    /** Starts with a check, so that a restarted node knows the current incarnation at once. */
     void start();
 
-    /** A connection was refused or an answer was lost: looks soon. */
+    /** Requests a check soon: a connection was refused or a response was lost. */
     void requestCheck();
 
 private:
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> pollOnce();
+    boost::asio::awaitable<void> check();
     bool isDue(TimePoint now) const;
 
     boost::asio::io_context &context_;
@@ -52,9 +52,9 @@
     milliseconds heartbeat_;
     std::function<void()> changed_;
     boost::asio::steady_timer timer_;
-    WatchTimes times_;
-    uint32_t silentLooks_ = 0; ///< In a row.
-    bool suspected_ = true;
+    HealthCheckLimits limits_;
+    uint32_t unanswered_ = 0; ///< Consecutive ones.
+    bool checkRequested_ = true;
 };
 
 } // namespace wisteriahoist
--- a/src/duty/gate_duty.cpp
+++ b/src/duty/gate_duty.cpp
@@ -1,4 +1,4 @@
-/** @file gate_duty.cpp The owner gate: the last point before the backend server. */
+/** @file gate_duty.cpp The owner's gate: final admission before the backend server. */
 
 #include "duty/gate_duty.h"
 
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr milliseconds DrainPoll{2}; ///< How often a lost range's running requests are looked at.
-/** A backend server that drains runs what it owns until its ranges have moved, at most so long. */
+constexpr milliseconds DrainPoll{2}; ///< Interval of checks for running requests of lost ranges.
+/** Longest time for which a draining backend server runs requests of ranges not yet handed over. */
 constexpr milliseconds DrainGrace{3000};
-constexpr size_t WarmConnections = 4; ///< Opened ahead of need; a new one costs about 1 ms.
+constexpr size_t WarmConnections = 4; ///< Opened in advance, since opening one takes about 1 ms.
 
-milliseconds leftUntil(TimePoint end, TimePoint now)
+milliseconds timeUntil(TimePoint end, TimePoint now)
 {
     return std::max(std::chrono::duration_cast<milliseconds>(end - now), milliseconds(1));
 }
@@ -36,17 +36,17 @@
     if (grant.backend.draining && !previous.draining) {
         drainingSince_ = clock_.now();
     }
-    const bool rerouted = grant.routing != grant_.routing;
+    const bool routingChanged = grant.routing != grant_.routing;
     grant_ = std::move(grant);
-    if (rerouted) {
-        takeRouting(clock_.now());
+    if (routingChanged) {
+        applyRouting(clock_.now());
     }
-    takeBackend(previous);
-    // The new grant is in force from here on: nothing of a lost range is admitted any more. What
-    // was handed over before may still run; without the wait the next owner would run beside it.
+    applyBackend(previous);
+    // From here on the new grant applies and no request of a lost range is admitted. A request sent
+    // earlier may still run; without the wait it would run at the same time as the next owner's.
     asio::steady_timer timer(context_);
-    for (TimePoint now = clock_.now(); inflight_.lostUntil(grant_.routing.get(), self_, now) > now;
-         now = clock_.now()) {
+    for (TimePoint now = clock_.now();
+         inflight_.lastLostDeadline(grant_.routing.get(), self_, now) > now; now = clock_.now()) {
         timer.expires_after(DrainPoll);
         beast::error_code ignored;
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
@@ -67,7 +67,7 @@
     return grant_.backend.draining && now - drainingSince_ >= DrainGrace;
 }
 
-void GateDuty::takeRouting(TimePoint now)
+void GateDuty::applyRouting(TimePoint now)
 {
     std::map<Epoch, TimePoint> since;
     size_t owned = 0;
@@ -86,7 +86,7 @@
     ownedRanges_.store(owned, std::memory_order_relaxed);
 }
 
-void GateDuty::takeBackend(const BackendInfo &previous)
+void GateDuty::applyBackend(const BackendInfo &previous)
 {
     const BackendInfo &backend = grant_.backend;
     const bool moved = backend.ip != previous.ip || backend.port != previous.port;
@@ -138,7 +138,7 @@
             = request.keyed() && grant_.routing
                       ? grant_.routing->findSlice(request.service(), KeyHash(request.key_hash()))
                       : nullptr;
-    // Without an owner each instance has its own table: a repeat may have run at any other.
+    // Without an owner each instance has its own table, and a request may have run at any of them.
     if (slice == nullptr) {
         return now;
     }
@@ -154,10 +154,10 @@
         co_return reply;
     }
     openRequests_.fetch_add(1, std::memory_order_relaxed);
-    const CallName name{request.origin_node(), request.request_id()};
+    const CallId name{request.origin_node(), request.request_id()};
     auto call = std::make_shared<Call>(context_);
     call->deadline = clock_.now() + milliseconds(request.deadline_left_ms());
-    call->keepsRunning = request.must_not_repeat() && !request.idempotency_key().empty();
+    call->outlivesCaller = request.must_not_repeat() && !request.idempotency_key().empty();
     calls_[name] = call;
     co_await serve(request, *call, reply);
     const auto found = calls_.find(name);
@@ -176,7 +176,7 @@
         fillOutcome(reply, RequestStage::Received, refusal);
         co_return;
     }
-    if (!call.keepsRunning) {
+    if (!call.outlivesCaller) {
         co_await run(request, call, reply);
         co_return;
     }
@@ -184,7 +184,7 @@
         co_return;
     }
     co_await run(request, call, reply);
-    remember(request, reply);
+    storeOutcome(request, reply);
 }
 
 bool GateDuty::passesDeduplication(const v1::HopRequest &request, v1::HopReply &reply)
@@ -196,15 +196,15 @@
         return true;
     }
     if (decision.step != DeduplicationStep::Replay) {
-        fillOutcome(reply, RequestStage::Received, endOf(decision.step));
+        fillOutcome(reply, RequestStage::Received, requestEndOf(decision.step));
         return false;
     }
-    reply.ParseFromString(decision.answer);
+    reply.ParseFromString(decision.response);
     reply.set_replayed(true);
     return false;
 }
 
-void GateDuty::remember(const v1::HopRequest &request, const v1::HopReply &reply)
+void GateDuty::storeOutcome(const v1::HopRequest &request, const v1::HopReply &reply)
 {
     const std::string &key = request.idempotency_key();
     switch (reply.outcome()) {
@@ -228,9 +228,9 @@
         fillOutcome(reply, RequestStage::Queued, waited);
         co_return;
     }
-    // A check made before a wait or a pause is worthless after it, so lease and owner are read
-    // here again, last: a queued request outlives its range's move otherwise, and the backend
-    // server without fencing runs it beside the new owner's.
+    // A check made before a wait is not valid after it, so lease and owner are checked again as the
+    // last step. Otherwise a queued request could be sent after its range has moved, and a backend
+    // server without fencing would run it at the same time as the new owner's.
     const RequestEnd refusal = checkAdmission(request, call, reply);
     if (refusal != RequestEnd::None) {
         slots_.release(false);
@@ -240,7 +240,7 @@
     if (request.keyed()) {
         load_.record(KeyHash(reply.range_first()), KeyHash(request.key_hash()), clock_.now());
     }
-    co_await handOver(request, call, reply);
+    co_await sendToBackend(request, call, reply);
 }
 
 BackendGrant GateDuty::makeGrant(const v1::HopRequest &request, const Call &call,
@@ -248,11 +248,11 @@
 {
     BackendGrant grant;
     grant.epoch = call.epoch;
-    grant.deadline = leftUntil(call.deadline, now);
+    grant.deadline = timeUntil(call.deadline, now);
     if (request.keyed()) {
-        grant.expires = leftUntil(grant_.leaseUntil, now);
-        // A backend server that checks nothing cannot refuse after the lease: its run must end
-        // within, since the next owner waits for the lease alone.
+        grant.expires = timeUntil(grant_.leaseUntil, now);
+        // A backend server that does not check the grant cannot refuse after the lease has expired,
+        // so the request must end within the lease: the next owner waits only for its expiry.
         if (grant_.backend.grantMode == GrantMode::Unchecked) {
             grant.deadline = std::min(grant.deadline, grant.expires);
         }
@@ -260,8 +260,8 @@
     return grant;
 }
 
-asio::awaitable<void> GateDuty::handOver(const v1::HopRequest &request, Call &call,
-                                         v1::HopReply &reply)
+asio::awaitable<void> GateDuty::sendToBackend(const v1::HopRequest &request, Call &call,
+                                              v1::HopReply &reply)
 {
     const TimePoint now = clock_.now();
     const BackendGrant grant = makeGrant(request, call, now);
@@ -271,7 +271,7 @@
                                  now + grant.deadline};
         inflightId = inflight_.begin(std::move(inflight));
     }
-    call.handedOver = true;
+    call.sent = true;
     const std::shared_ptr<HttpClient> client = client_;
     HttpRequest forwarded = makeBackendRequest(request, grant);
     Result<HttpResponse> answer
@@ -283,11 +283,11 @@
     if (!answer) {
         const RequestStage stage = neverSent ? RequestStage::Queued : call.control->stage();
         fillOutcome(reply, stage,
-                    endOfExchange(answer.assume_error().code, call.control->isCancelled()));
+                    requestEndOfExchange(answer.assume_error().code, call.control->isCancelled()));
     } else if (shed) {
         fillOutcome(reply, RequestStage::Answered, RequestEnd::BackendRefused);
     } else {
-        fillAnswer(reply, std::move(answer.assume_value()), request.method() == "HEAD");
+        fillResponse(reply, std::move(answer.assume_value()), request.method() == "HEAD");
     }
 }
 
@@ -298,13 +298,13 @@
         return;
     }
     Call &call = *found->second;
-    if (!call.handedOver) {
+    if (!call.sent) {
         SlotQueue::cancel(*call.waiter);
         return;
     }
-    // A run whose answer is stored for repeats goes on: cutting it would leave its caller, who
-    // may only have changed networks, with an outcome that nobody can tell any more.
-    if (!call.keepsRunning) {
+    // A request whose response is stored for retries continues. If it were cancelled, the outcome
+    // would stay unknown to a caller that may only have changed networks.
+    if (!call.outlivesCaller) {
         call.control->cancel();
     }
 }
--- a/src/duty/gate_duty.h
+++ b/src/duty/gate_duty.h
@@ -1,4 +1,4 @@
-/** @file gate_duty.h The owner gate: the last point before the backend server. */
+/** @file gate_duty.h The owner's gate: final admission before the backend server. */
 
 #pragma once
 
@@ -19,8 +19,8 @@
 struct BackendGrant;
 
 /**
- * Admits a request only if this node holds a lease and owns the key at the moment of handing over,
- * then runs it on the backend server and returns the whole answer. Runs on its own thread.
+ * Admits a request only if this node holds a lease and owns the key at the time of sending it, then
+ * runs it on the backend server and returns the complete response. Runs on its own thread.
  */
 class GateDuty
 {
@@ -28,19 +28,20 @@
     GateDuty(asio::io_context &context, const Clock &clock, NodeId self);
 
     /**
-     * Takes a new grant over at once, and returns only when no request of a range that this node
-     * lost under the grant can still run: each has ended, or its deadline has passed. So the
-     * return confirms that the lost epochs are no longer admitted and have drained.
+     * Applies a new grant at once. It returns only when no request of a range that this node lost
+     * with the grant can still run: each has ended, or its deadline has passed. The return
+     * therefore confirms that requests under the lost epochs are no longer admitted and that
+     * those admitted earlier have drained.
      */
     asio::awaitable<Accepted> onGrant(GateGrant grant);
 
-    /** Runs one request or says why not; a request with cancel set ends an earlier one. */
+    /** Runs one request or refuses it; a request with cancel set cancels an earlier one. */
     asio::awaitable<v1::HopReply> onRequest(v1::HopRequest request);
 
-    /** @return Requests that wait or run here; readable from any thread. */
+    /** @return Requests queued or running here; may be called from any thread. */
     size_t openRequests() const { return openRequests_.load(std::memory_order_relaxed); }
 
-    /** @return Ranges that this node owns under its present grant; readable from any thread. */
+    /** @return Ranges owned under the current grant; may be called from any thread. */
     size_t ownedRanges() const { return ownedRanges_.load(std::memory_order_relaxed); }
 
 private:
@@ -53,22 +54,24 @@
         std::shared_ptr<ExchangeControl> control = std::make_shared<ExchangeControl>();
         TimePoint deadline;
         Epoch epoch; ///< Of the owned range, once admitted; 0 if the rule has no key.
-        bool handedOver = false;
-        bool keepsRunning = false; ///< It is not cut when its caller goes: its answer is stored.
+        bool sent = false;
+        bool outlivesCaller
+                = false; ///< Not cancelled with its caller, since its response is stored.
     };
-    using CallName = std::pair<uint64_t, uint64_t>; ///< Origin node and its request id.
+    using CallId = std::pair<uint64_t, uint64_t>; ///< Originating node and its request id.
 
     asio::awaitable<void> serve(const v1::HopRequest &request, Call &call, v1::HopReply &reply);
     asio::awaitable<void> run(const v1::HopRequest &request, Call &call, v1::HopReply &reply);
-    asio::awaitable<void> handOver(const v1::HopRequest &request, Call &call, v1::HopReply &reply);
+    asio::awaitable<void> sendToBackend(const v1::HopRequest &request, Call &call,
+                                        v1::HopReply &reply);
     bool passesDeduplication(const v1::HopRequest &request, v1::HopReply &reply);
-    void remember(const v1::HopRequest &request, const v1::HopReply &reply);
+    void storeOutcome(const v1::HopRequest &request, const v1::HopReply &reply);
     RequestEnd checkAdmission(const v1::HopRequest &request, Call &call, v1::HopReply &reply) const;
     BackendGrant makeGrant(const v1::HopRequest &request, const Call &call, TimePoint now) const;
     TimePoint epochSince(const v1::HopRequest &request, TimePoint now) const;
     void cancel(const v1::HopRequest &request);
-    void takeRouting(TimePoint now);
-    void takeBackend(const BackendInfo &previous);
+    void applyRouting(TimePoint now);
+    void applyBackend(const BackendInfo &previous);
 
     asio::io_context &context_;
     const Clock &clock_;
@@ -76,12 +79,12 @@
     GateGrant grant_;
     std::shared_ptr<HttpClient> client_; ///< To grant_.backend; replaced when its address changes.
     std::map<Epoch, TimePoint> epochSince_; ///< When this node learned of each epoch it owns.
-    InflightRegistry inflight_;             ///< Keyed requests handed over.
+    InflightRegistry inflight_;             ///< Keyed requests that were sent.
     DeduplicationTable deduplication_{DeduplicationLimits{}};
     SlotQueue slots_;
-    std::map<CallName, std::shared_ptr<Call>> calls_; ///< For cancelling.
-    LoadTracker load_;                                ///< Requests handed over, by range and key.
-    TimePoint drainingSince_ = NeverTime;             ///< Start of the backend server's drain.
+    std::map<CallId, std::shared_ptr<Call>> calls_; ///< Open requests, for cancellation.
+    LoadTracker load_;                              ///< Sent requests, by range and key.
+    TimePoint drainingSince_ = NeverTime;           ///< Start of the backend server's drain.
     std::atomic<size_t> openRequests_{0};
     std::atomic<size_t> ownedRanges_{0};
 };
--- a/src/duty/gate_message.cpp
+++ b/src/duty/gate_message.cpp
@@ -1,4 +1,4 @@
-/** @file gate_message.cpp The gate's messages to the backend server and to the hop. */
+/** @file gate_message.cpp Messages of the gate to the backend server and to other nodes. */
 
 #include "duty/gate_message.h"
 
@@ -41,7 +41,7 @@
     reply.set_retry_after_ms(verdict.retryAfter.count());
 }
 
-void fillAnswer(v1::HopReply &reply, HttpResponse response, bool headOnly)
+void fillResponse(v1::HopReply &reply, HttpResponse response, bool headOnly)
 {
     reply.set_outcome(v1::HOP_OUTCOME_DONE);
     reply.set_status(response.result_int());
@@ -74,7 +74,7 @@
     return attempt;
 }
 
-RequestEnd endOfExchange(FailureCode code, bool cancelled)
+RequestEnd requestEndOfExchange(FailureCode code, bool cancelled)
 {
     if (cancelled) {
         return RequestEnd::CallerGone;
@@ -91,7 +91,7 @@
     }
 }
 
-RequestEnd endOf(DeduplicationStep step)
+RequestEnd requestEndOf(DeduplicationStep step)
 {
     switch (step) {
     case DeduplicationStep::InProgress:
--- a/src/duty/gate_message.h
+++ b/src/duty/gate_message.h
@@ -1,4 +1,4 @@
-/** @file gate_message.h The gate's messages: requests to the backend server, replies to the hop. */
+/** @file gate_message.h Messages of the gate: requests to the backend server, replies to hops. */
 
 #pragma once
 
@@ -10,33 +10,33 @@
 
 namespace wisteriahoist {
 
-/** What the backend server is told beside the request itself. */
+/** Grant metadata that is sent to the backend server with a request. */
 struct BackendGrant {
     Epoch epoch;
-    milliseconds expires{0};  ///< What is left of the lease.
-    milliseconds deadline{0}; ///< What is left for the run.
+    milliseconds expires{0};  ///< Remaining time of the lease.
+    milliseconds deadline{0}; ///< Remaining time for the request.
 };
 
-/** @return The request as its caller sent it, without what belonged to the caller's connection. */
+/** @return The request as its caller sent it, without hop-by-hop headers. */
 HttpRequest makeForwardedRequest(const v1::HopRequest &request);
 
-/** @return The request as the backend server gets it. */
+/** @return The request as it is sent to the backend server. */
 HttpRequest makeBackendRequest(const v1::HopRequest &request, const BackendGrant &grant);
 
-/** Fills @p reply with what may be said of a request that ended at @p stage by @p end. */
+/** Sets @p reply to the outcome of a request that had reached @p stage and ended with @p end. */
 void fillOutcome(v1::HopReply &reply, RequestStage stage, RequestEnd end);
 
-/** Fills @p reply with the whole answer of the backend server. */
-void fillAnswer(v1::HopReply &reply, HttpResponse response, bool headOnly);
+/** Sets @p reply to the complete response of the backend server. */
+void fillResponse(v1::HopReply &reply, HttpResponse response, bool headOnly);
 
-/** @return The request as the deduplication table sees it. */
+/** @return The input of the deduplication table for @p request. */
 KeyedAttempt makeKeyedAttempt(const v1::HopRequest &request, TimePoint epochSince);
 
-/** @return How an exchange that failed with @p code ended. @param cancelled By its caller's
- * leaving. */
-RequestEnd endOfExchange(FailureCode code, bool cancelled);
+/** @return How an exchange that failed with @p code ended. @param cancelled Whether it was
+ *          cancelled because its caller has disconnected. */
+RequestEnd requestEndOfExchange(FailureCode code, bool cancelled);
 
-/** @return The end of a request that the deduplication table did not let run. */
-RequestEnd endOf(DeduplicationStep step);
+/** @return How a request ended that the deduplication table did not allow to run. */
+RequestEnd requestEndOf(DeduplicationStep step);
 
 } // namespace wisteriahoist
--- a/src/duty/loss_confirmer.cpp
+++ b/src/duty/loss_confirmer.cpp
@@ -1,4 +1,4 @@
-/** @file loss_confirmer.cpp An operator's word that VMs are gone for good, kept in the platform. */
+/** @file loss_confirmer.cpp Stores an operator's confirmation that VMs are permanently lost. */
 
 #include "duty/loss_confirmer.h"
 
@@ -20,12 +20,12 @@
 PlatformStore::Pending<Term> LossConfirmer::confirm(Term term, Term known, std::string confirmedBy)
 {
     if (confirmedBy.empty()) {
-        co_return Failure{FailureCode::BadArgument, "confirmed_by: who says so is needed"};
+        co_return Failure{FailureCode::BadArgument, "confirmed_by: must not be empty"};
     }
     if (term == Term(0) || term > known) {
         co_return Failure{FailureCode::BadArgument,
-                          "term: found " + std::to_string(term.value()) + ", 1 to "
-                                  + std::to_string(known.value()) + " is allowed"};
+                          "term: " + std::to_string(term.value()) + " is not between 1 and "
+                                  + std::to_string(known.value()) + ", the latest known term"};
     }
     Result<VersionedObject> stored = co_await platform_.read(object_);
     if (!stored) {
@@ -43,7 +43,8 @@
     if (written) {
         co_return term;
     }
-    // A lost reply tells nothing: only what is stored says whether the word stands.
+    // A lost reply leaves the result open: only the stored object shows whether the write took
+    // effect.
     Result<VersionedObject> again = co_await platform_.read(object_);
     if (!again) {
         co_return std::move(written).as_failure();
--- a/src/duty/loss_confirmer.h
+++ b/src/duty/loss_confirmer.h
@@ -1,4 +1,4 @@
-/** @file loss_confirmer.h An operator's word that VMs are gone for good, kept in the platform. */
+/** @file loss_confirmer.h Stores an operator's confirmation that VMs are permanently lost. */
 
 #pragma once
 
@@ -10,22 +10,23 @@
 namespace wisteriahoist {
 
 /**
- * Writes a cell's loss confirmation. With it, a coordinator closes rosters of which more than half
- * never answered. A wrong word lets a partitioned owner serve beside its successor, so it names its
- * author and the term, and never falls behind what is stored.
+ * Writes a cell's loss confirmation to the platform. With it, a coordinator closes rosters of
+ * which more than half never answered. A wrong confirmation lets a partitioned owner serve at the
+ * same time as its successor, so it names its author and the term, and the stored term never
+ * decreases.
  */
 class LossConfirmer
 {
 public:
-    /** @param object The name of the cell's confirmation in the platform. */
+    /** @param object Name of the cell's confirmation in the platform. */
     LossConfirmer(PlatformStore &platform, std::string object)
         : platform_(platform), object_(std::move(object))
     { }
 
     /**
-     * Confirms that whoever has not acknowledged a term above @p term is gone.
-     * @param known The term that this node knows; @p term may not be above it.
-     * @return The term that is confirmed now; BadArgument, or what the platform failed with.
+     * Confirms that all members that have not acknowledged a term above @p term are lost.
+     * @param known The term that this node knows; @p term must not be above it.
+     * @return The confirmed term; BadArgument, or the failure of the platform.
      */
     PlatformStore::Pending<Term> confirm(Term term, Term known, std::string confirmedBy);
 
--- a/src/duty/peer_duty.cpp
+++ b/src/duty/peer_duty.cpp
@@ -1,4 +1,4 @@
-/** @file peer_duty.cpp Calls from other nodes: forwarded requests and renewals. */
+/** @file peer_duty.cpp Serves calls from other nodes: forwarded requests and renewals. */
 
 #include "duty/peer_duty.h"
 
--- a/src/duty/peer_duty.h
+++ b/src/duty/peer_duty.h
@@ -1,4 +1,4 @@
-/** @file peer_duty.h Calls from other nodes: forwarded requests and renewals. */
+/** @file peer_duty.h Serves calls from other nodes: forwarded requests and renewals. */
 
 #pragma once
 
@@ -17,11 +17,11 @@
     void start();
     void stop();
 
-    /** Handles other nodes' calls only after a hello with one of @p keys. @pre Before start(). */
+    /** Serves calls only after a hello authenticated with one of @p keys. @pre Before start(). */
     void requireHello(FleetKeys keys) { listener_->requireHello(std::move(keys)); }
     uint16_t port() const { return listener_->port(); }
 
-    /** @return Refused hellos and calls; nullptr if no hello is required. */
+    /** @return Counters of refused hellos and calls; nullptr if no hello is required. */
     const AuthCounters *refusals() const { return listener_->refusals(); }
 
 private:
--- a/src/duty/peer_link.cpp
+++ b/src/duty/peer_link.cpp
@@ -7,19 +7,19 @@
 namespace wisteriahoist {
 
 namespace {
-/** Nodes are 1 ms apart; one that takes so long to accept a connection is cut off or without power.
- */
+/** Latency between nodes is 1 ms; a node that does not accept a connection within this time is
+ *  partitioned or has no power. */
 constexpr milliseconds ConnectTimeout{300};
 
 /**
- * The address of a VM that has gone may belong to a new one, whose node would answer for the lost
- * one: heartbeats and probes went well, nobody took its keys over, and requests for them were
- * refused for the rest of the day. So each call names the node that it is meant for. The reply of
- * any other is no message of any schema (a field of a type that does not exist).
+ * Reply to a call that is addressed to another node: no valid message of any schema (a field with a
+ * type that does not exist). The address of a lost VM may be reused by a new one, whose node would
+ * answer for the lost node: heartbeats and probes succeeded, no node took over the keys, and
+ * requests for them were refused for the rest of the day. Each call therefore names its addressee.
  */
 constexpr std::string_view MisdirectedReply = "\xff\xff";
 
-/** @return The node that @p path names behind its last slash, and the path before it. */
+/** @return The path before the last slash of @p path, and the node id after it. */
 std::pair<std::string, NodeId> splitPath(const std::string &path)
 {
     const size_t slash = path.rfind('/');
@@ -55,11 +55,11 @@
                                                     milliseconds timeout)
 {
     const PeerEndpoint peer{member.ip, member.peerPort};
-    std::string named = std::string(path) + "/" + std::to_string(member.node.value());
+    std::string addressed = std::string(path) + "/" + std::to_string(member.node.value());
     Result<std::string> reply
-            = co_await caller_.call(peer, std::move(named), std::move(body), timeout);
+            = co_await caller_.call(peer, std::move(addressed), std::move(body), timeout);
     if (reply && reply.assume_value() == MisdirectedReply) {
-        co_return Failure{FailureCode::Unavailable, "another node has the address"};
+        co_return Failure{FailureCode::Unavailable, "the address is used by another node"};
     }
     co_return reply;
 }
@@ -71,7 +71,7 @@
         co_return std::string(MisdirectedReply);
     }
     const auto found = answers_.find(call);
-    // An empty body is no valid reply of any call: a newer node learns that this one is older.
+    // An empty body is not a valid reply of any call: it shows a newer node that this one is older.
     if (found == answers_.end()) {
         co_return std::string();
     }
--- a/src/duty/peer_link.h
+++ b/src/duty/peer_link.h
@@ -1,4 +1,4 @@
-/** @file peer_link.h Calls to other nodes by their member record, and who answers theirs. */
+/** @file peer_link.h Calls to other nodes by their member record, and serving of their calls. */
 
 #pragma once
 
@@ -9,21 +9,21 @@
 
 namespace wisteriahoist {
 
-/** The connections of one node to the others, in both directions. */
+/** The connections between this node and the others, in both directions. */
 class PeerLink final : public PeerCalls
 {
 public:
     PeerLink(asio::io_context &context, const std::string &ip, uint16_t port);
 
-    /** @pre Called before start(). */
+    /** Registers the handler of @p path. @pre Called before start(). */
     void serve(const std::string &path, Answer answer) override;
 
-    /** From now on calls that are meant for another node are not taken. */
+    /** Rejects calls that are addressed to a node other than @p self from now on. */
     void identifyAs(NodeId self) { self_ = self; }
 
     void start();
 
-    /** Accepts no more and closes the connections that others have opened. */
+    /** Stops accepting connections and closes those opened by other nodes. */
     void stop() { listener_->stop(); }
 
     uint16_t port() const { return listener_->port(); }
@@ -35,7 +35,7 @@
     asio::awaitable<std::string> dispatch(std::string path, std::string body);
 
     PeerCaller caller_;
-    NodeId self_; ///< InvalidNode: every call is taken.
+    NodeId self_; ///< InvalidNode: all calls are accepted.
     std::shared_ptr<PeerListener> listener_;
     std::map<std::string, Answer, std::less<>> answers_;
 };
--- a/src/duty/peer_loads.cpp
+++ b/src/duty/peer_loads.cpp
@@ -1,4 +1,4 @@
-/** @file peer_loads.cpp What this node knows of other nodes from its own calls to them. */
+/** @file peer_loads.cpp Load and reachability of other nodes, observed by this node's own calls. */
 
 #include "duty/peer_loads.h"
 
@@ -6,22 +6,23 @@
 
 namespace {
 
-/** A load that was reported longer ago says nothing about the present. */
+/** Older load reports are outdated and ignored. */
 constexpr milliseconds LoadAge{3000};
 
-/** An attempt at a lost node takes up to 300 ms of a caller's time; one in so long is enough. */
+/** An attempt at a lost node takes up to 300 ms of a caller's time; one per interval is enough. */
 constexpr milliseconds RetryAfterFailure{400};
 
 OutlierLimits makeOutlierLimits()
 {
     OutlierLimits limits;
-    // With three instances of a service one of them may be left out, never two.
+    // Of three instances of a service one may be ejected, never two.
     limits.firstEjection = milliseconds(1500);
     limits.longestEjection = milliseconds(6000);
     return limits;
 }
 
-/** @return Whether the answer shows that the instance fails requests that it should serve. */
+/** @return Whether the reply shows that the instance failed a request that reached its backend
+ *          server. */
 bool isFailure(const v1::HopReply &reply)
 {
     return reply.reached_backend()
@@ -47,7 +48,7 @@
         onUnanswered(node, now);
         return;
     }
-    onHeard(node, now);
+    onAnswered(node, now);
     if (reply.has_load()) {
         state.load = reply.load();
         state.reportedAt = now;
@@ -60,7 +61,7 @@
     }
 }
 
-void PeerLoads::onHeard(NodeId node, TimePoint now)
+void PeerLoads::onAnswered(NodeId node, TimePoint now)
 {
     State &state = states_[node];
     state.unreachableSince = NeverTime;
@@ -82,7 +83,7 @@
     return found == states_.end() ? NeverTime : found->second.heardAt;
 }
 
-bool PeerLoads::isShunned(NodeId node, TimePoint now) const
+bool PeerLoads::isBackingOff(NodeId node, TimePoint now) const
 {
     const auto found = states_.find(node);
     return found != states_.end() && found->second.unreachableSince != NeverTime
--- a/src/duty/peer_loads.h
+++ b/src/duty/peer_loads.h
@@ -1,4 +1,4 @@
-/** @file peer_loads.h What this node knows of other nodes from its own calls to them. */
+/** @file peer_loads.h Load and reachability of other nodes, observed by this node's own calls. */
 
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace wisteriahoist {
 
-/** Loads and failures by node, as the node's own calls show them. Used by one thread. */
+/** Load and failures by node, as observed by this node's own calls. Used by one thread. */
 class PeerLoads
 {
 public:
@@ -20,37 +20,37 @@
 
     void onSent(NodeId node);
 
-    /** A call has ended. @param reached Whether the node itself answered. */
+    /** A call has ended. @param reached Whether the node answered. */
     void onReply(NodeId node, const v1::HopReply &reply, bool reached, TimePoint now);
 
-    /** The node has answered a call that carries no load. */
-    void onHeard(NodeId node, TimePoint now);
+    /** The node has answered a call whose reply carries no load. */
+    void onAnswered(NodeId node, TimePoint now);
 
-    /** A call to the node got no answer. */
+    /** A call to the node was not answered. */
     void onUnanswered(NodeId node, TimePoint now);
 
-    /** @return When a call last reached the node. */
+    /** @return When the node last answered a call. */
     TimePoint heardAt(NodeId node) const;
 
     /**
-     * @return Whether a request should not even be tried there: the last call has just failed. One
-     *         call each RetryAfterFailure goes through and shows when the node is back.
+     * @return Whether requests should not be sent there because the last call has just failed. One
+     *         call per RetryAfterFailure is still allowed, to detect that the node is back.
      */
-    bool isShunned(NodeId node, TimePoint now) const;
+    bool isBackingOff(NodeId node, TimePoint now) const;
 
-    /** @return The load of @p node, for the choice among instances. */
+    /** @return The load of @p node, as input of chooseInstance(). */
     InstanceLoad instanceLoad(NodeId node, const std::string &failureDomain, uint32_t slots) const;
 
-    /** @return Mean time that a request runs there; 0 if it is not known. */
+    /** @return Mean service time of a request there; 0 if it is not known. */
     milliseconds serviceTime(NodeId node) const;
 
-    /** @return Slots that keyed requests ask for there; 0 if it is not known. */
+    /** @return Slots that keyed requests require there; 0 if it is not known. */
     double busySlots(NodeId node, TimePoint now) const;
 
-    /** @return Whether the node has said lately that no keys are to be given to it. */
+    /** @return Whether the node has recently reported that it must not be given any more keys. */
     bool isLeaving(NodeId node, TimePoint now) const;
 
-    /** @return Since when no call has reached @p node; NeverTime if the last one did. */
+    /** @return When calls to @p node began to fail; NeverTime if the last one was answered. */
     TimePoint unreachableSince(NodeId node) const;
 
     const OutlierDetector &outliers() const { return outliers_; }
--- a/src/duty/request_router.cpp
+++ b/src/duty/request_router.cpp
@@ -1,4 +1,4 @@
-/** @file request_router.cpp Callers' requests: finds the route and the instance, tries, answers. */
+/** @file request_router.cpp Ingress node of a request: routing, choice of the instance, retries. */
 
 #include "duty/request_router.h"
 
@@ -19,39 +19,40 @@
 constexpr std::string_view ProbePath = "/probe";
 
 constexpr milliseconds ProbeTimeout{600};
-/** Lets the gate's own verdict at the deadline (it may be "not run") arrive before the hop's. */
+/** Lets the gate's own reply at the deadline, which may be "not run", arrive before the call
+ *  times out. */
 constexpr milliseconds HopGrace{20};
 constexpr milliseconds CancelTimeout{500};
-/** Between two questions to the owner of a key that is on its way; a new owner is asked at once. */
-constexpr milliseconds OwnerPause{100};
-/** The first configuration is read within a second of a node's start, or the store is away. */
-constexpr milliseconds RetryConfig{1000};
-/** A lost node's keys are served again after about three seconds. */
-constexpr milliseconds RetryLost{1000};
-/** Before other nodes have reported how long they will be full. */
-constexpr milliseconds RetryDefault{200};
-/** Instances that one request is weighed against; to look at each of hundreds costs more than it
- *  gains over the better of a few. */
-constexpr size_t InstanceSample = 16;
-
-milliseconds leftUntil(TimePoint end, TimePoint now)
+/** Interval between attempts while a key is handed over; a new owner is tried at once. */
+constexpr milliseconds OwnerRetryInterval{100};
+/** A node reads the first configuration within a second of its start if the store is available. */
+constexpr milliseconds RetryAfterNoConfig{1000};
+/** The keys of a lost node are served again after about three seconds. */
+constexpr milliseconds RetryAfterLostNode{1000};
+/** Used until other nodes have reported when they expect to have capacity. */
+constexpr milliseconds DefaultRetryAfter{200};
+/** Instances compared for one request; comparing hundreds costs more than it gains over the better
+ *  of a few. */
+constexpr size_t InstanceSampleSize = 16;
+
+milliseconds timeUntil(TimePoint end, TimePoint now)
 {
     return std::chrono::duration_cast<milliseconds>(end - now);
 }
 
-AttemptEnd describe(const v1::HopReply &reply)
+AttemptResult toAttemptResult(const v1::HopReply &reply)
 {
-    AttemptEnd end;
+    AttemptResult end;
     end.outcome = outcomeOf(reply);
     end.status = static_cast<uint16_t>(reply.status());
     end.reachedBackend = reply.reached_backend();
     end.routingMayChange = reply.reason() == "not-owner";
-    end.backendAway = reply.reason() == "no-backend";
+    end.backendUnavailable = reply.reason() == "no-backend";
     return end;
 }
 
-/** @return Whether every node that was asked was full. */
-bool isWithoutRoom(const v1::HopReply &reply)
+/** @return Whether all nodes that were tried were full. */
+bool isCapacityRefusal(const v1::HopReply &reply)
 {
     return outcomeOf(reply) == Outcome::NotRun
            && (reply.reason() == "overloaded" || reply.reason() == "patience-over");
@@ -65,9 +66,9 @@
     : context_(context), clock_(clock), protocol_(protocol), view_(view), loads_(loads),
       gate_(gate), settings_(std::move(settings)), peers_(peers), random_(std::random_device{}())
 {
-    // A node that has restarted must not name its requests as its earlier life did: the gate may
-    // still run one of those, and a cancellation would cut off the wrong one.
-    lastRequest_ = random_();
+    // Request ids of a restarted node must differ from those of its earlier incarnation: the gate
+    // may still run one of those, and a cancellation would cancel the wrong request.
+    lastRequestId_ = random_();
     view_.onChange([this]() { wakeWaiters(); });
     peers_.serve(std::string(HopPath), [this](std::string body) { return onHop(std::move(body)); });
     peers_.serve(std::string(ProbePath), [this](std::string) { return onProbe(); });
@@ -90,53 +91,55 @@
     const std::shared_ptr<const RouteTable> routes = view_.routesPtr();
     if (routes->version() == 0) {
         co_return refuse(http::status::service_unavailable, "no-configuration",
-                         "No configuration is known yet.", RetryConfig);
+                         "No configuration has been received yet.", RetryAfterNoConfig);
     }
     const auto host = request[http::field::host];
     const auto target = request.target();
     const Route *route = routes->find({host.data(), host.size()}, {target.data(), target.size()});
     if (route == nullptr) {
-        co_return refuse(http::status::not_found, "no-route", "No route matches.", milliseconds(0));
+        co_return refuse(http::status::not_found, "no-route", "No route matches the request.",
+                         milliseconds(0));
     }
-    const Result<RequestMetadata> terms = protocol_.readMetadata(request);
-    if (!terms) {
+    const Result<RequestMetadata> metadata = protocol_.readMetadata(request);
+    if (!metadata) {
         co_return refuse(http::status::bad_request, "malformed-request",
-                         terms.assume_error().context, milliseconds(0));
+                         metadata.assume_error().context, milliseconds(0));
     }
-    const std::shared_ptr<Work> work
-            = makeWork(request, terms.assume_value(), *route, std::move(caller));
-    work->routes = routes;
-    if (work->history.sharded && !terms.assume_value().shardKey) {
-        co_return refuse(http::status::bad_request, "malformed-request", "The key is missing.",
+    const std::shared_ptr<RequestState> state
+            = makeState(request, metadata.assume_value(), *route, std::move(caller));
+    state->routes = routes;
+    if (state->history.sharded && !metadata.assume_value().shardKey) {
+        co_return refuse(http::status::bad_request, "malformed-request",
+                         "The route requires a shard key, but the request has none.",
                          milliseconds(0));
     }
-    if (!admit(*work)) {
-        co_return makeAnswer(*work,
-                             makeOutcomeReply(RequestStage::Received, RequestEnd::Overloaded));
+    if (!admit(*state)) {
+        co_return makeResponse(*state,
+                               makeOutcomeReply(RequestStage::Received, RequestEnd::Overloaded));
     }
-    ++open_;
-    v1::HopReply reply = co_await runAttempts(work);
-    --open_;
-    work->caller->onDisconnect(nullptr);
-    learnRoom(*work, reply);
-    co_return makeAnswer(*work, std::move(reply));
+    ++openRequests_;
+    v1::HopReply reply = co_await runAttempts(state);
+    --openRequests_;
+    state->caller->onDisconnect(nullptr);
+    recordCapacity(*state, reply);
+    co_return makeResponse(*state, std::move(reply));
 }
 
-std::shared_ptr<RequestRouter::Work>
-RequestRouter::makeWork(const HttpRequest &request, const RequestMetadata &terms,
-                        const Route &route, std::shared_ptr<DisconnectSignal> caller)
+std::shared_ptr<RequestRouter::RequestState>
+RequestRouter::makeState(const HttpRequest &request, const RequestMetadata &metadata,
+                         const Route &route, std::shared_ptr<DisconnectSignal> caller)
 {
     const TimePoint now = clock_.now();
-    auto work = std::make_shared<Work>();
-    work->route = &route;
-    work->caller = std::move(caller);
-    work->startedAt = now;
-    work->deadline = now + std::min(route.timeout, terms.timeLeft.value_or(route.timeout));
+    auto state = std::make_shared<RequestState>();
+    state->route = &route;
+    state->caller = std::move(caller);
+    state->startedAt = now;
+    state->deadline = now + std::min(route.timeout, metadata.timeLeft.value_or(route.timeout));
     const bool hasObjective = route.latencyObjective.count() > 0;
-    work->objective = hasObjective ? now + route.latencyObjective : work->deadline;
-    v1::HopRequest &hop = work->hop;
+    state->objective = hasObjective ? now + route.latencyObjective : state->deadline;
+    v1::HopRequest &hop = state->hop;
     hop.set_service(targets_.pick(route));
-    hop.set_attempt_id(terms.attemptId);
+    hop.set_attempt_id(metadata.attemptId);
     hop.set_method(std::string(request.method_string()));
     hop.set_target(std::string(request.target()));
     hop.set_must_not_repeat(route.kind == RequestKind::NonIdempotent);
@@ -151,136 +154,137 @@
     }
     hop.set_body(request.body());
     const ServiceConfig *service = view_.routes().findService(hop.service());
-    work->history.sharded = service != nullptr && service->sharded;
-    work->history.objective = route.latencyObjective;
-    work->history.idempotent = route.kind == RequestKind::Idempotent;
-    work->history.maxAttempts = std::max<uint32_t>(1, route.maxAttempts);
-    if (work->history.sharded && terms.shardKey) {
+    state->history.sharded = service != nullptr && service->sharded;
+    state->history.objective = route.latencyObjective;
+    state->history.idempotent = route.kind == RequestKind::Idempotent;
+    state->history.maxAttempts = std::max<uint32_t>(1, route.maxAttempts);
+    if (state->history.sharded && metadata.shardKey) {
         hop.set_keyed(true);
-        hop.set_shard_key(terms.shardKey->value());
+        hop.set_shard_key(metadata.shardKey->value());
     }
     budgets_.try_emplace(hop.service(), settings_.retries).first->second.onRequest(now);
-    return work;
+    return state;
 }
 
-asio::awaitable<v1::HopReply> RequestRouter::runAttempts(std::shared_ptr<Work> work)
+asio::awaitable<v1::HopReply> RequestRouter::runAttempts(std::shared_ptr<RequestState> state)
 {
-    work->caller->onDisconnect([this, work]() {
+    state->caller->onDisconnect([this, state]() {
         ++counters_.callersDisconnected;
-        const auto cancel = [this, target = work->target, id = work->hop.request_id()]() {
+        const auto cancel = [this, target = state->target, id = state->hop.request_id()]() {
             return sendCancel(target, id);
         };
         asio::co_spawn(context_, cancel, asio::detached);
     });
     while (true) {
-        v1::HopReply reply = co_await attempt(work);
+        v1::HopReply reply = co_await attempt(state);
         const TimePoint now = clock_.now();
-        const AttemptEnd end = describe(reply);
-        work->history.timeLeft = work->deadline - now;
-        work->history.reached += end.reachedBackend ? 1 : 0;
-        work->history.mayHaveRun |= end.outcome == Outcome::Unknown;
+        const AttemptResult end = toAttemptResult(reply);
+        state->history.timeLeft = state->deadline - now;
+        state->history.reached += end.reachedBackend ? 1 : 0;
+        state->history.mayHaveRun |= end.outcome == Outcome::Unknown;
         if (reply.retry_after_ms() > 0) {
             const milliseconds given(reply.retry_after_ms());
-            work->retryAfter
-                    = work->retryAfter.count() == 0 ? given : std::min(work->retryAfter, given);
+            state->retryAfter
+                    = state->retryAfter.count() == 0 ? given : std::min(state->retryAfter, given);
         }
-        const bool hasOwner = end.routingMayChange && learnOwner(*work, reply);
-        AttemptStep step = decideNextAttempt(end, work->history, AttemptLimits{});
-        if (work->caller->isDisconnected()) {
+        const bool hasOwner = end.routingMayChange && recordNamedOwner(*state, reply);
+        AttemptStep step = decideNextAttempt(end, state->history, AttemptLimits{});
+        if (state->caller->isDisconnected()) {
             step = AttemptStep::Finish;
         }
-        if (step == AttemptStep::RepeatAnother && !takeRepeat(*work, now)) {
+        if (step == AttemptStep::RetryAnother && !takeRetry(*state, now)) {
             step = AttemptStep::Finish;
         }
         if (step == AttemptStep::Finish) {
-            co_return finalReply(*work, std::move(reply), end);
+            co_return finalReply(*state, std::move(reply), end);
         }
         if (end.outcome == Outcome::Done) {
-            work->history.answered = true;
-            work->earlierAnswer = std::move(reply);
+            state->history.answered = true;
+            state->earlierReply = std::move(reply);
         }
         if (step == AttemptStep::AwaitOwner && !hasOwner) {
-            co_await awaitRouting(work);
+            co_await awaitRouting(state);
         }
     }
 }
 
-v1::HopReply RequestRouter::finalReply(Work &work, v1::HopReply reply, const AttemptEnd &end)
+v1::HopReply RequestRouter::finalReply(RequestState &state, v1::HopReply reply,
+                                       const AttemptResult &end)
 {
-    switch (chooseFinalAnswer(end, work.history)) {
-    case FinalAnswer::EarlierAnswer:
-        return std::move(work.earlierAnswer);
-    case FinalAnswer::Unknown:
+    switch (chooseFinalReply(end, state.history)) {
+    case FinalReply::EarlierResponse:
+        return std::move(state.earlierReply);
+    case FinalReply::Unknown:
         return makeOutcomeReply(RequestStage::Sent, RequestEnd::ConnectionLost);
-    case FinalAnswer::LastEnd:
+    case FinalReply::LastResult:
         break;
     }
     return reply;
 }
 
-RequestRouter::RouteRoom &RequestRouter::roomOf(const Work &work)
+RequestRouter::RouteCapacity &RequestRouter::capacityOf(const RequestState &state)
 {
-    if (roomsVersion_ != work.routes->version()) {
-        roomsVersion_ = work.routes->version();
-        rooms_.clear();
+    if (capacitiesVersion_ != state.routes->version()) {
+        capacitiesVersion_ = state.routes->version();
+        capacities_.clear();
     }
-    return rooms_[work.route->name];
+    return capacities_[state.route->name];
 }
 
-bool RequestRouter::admit(Work &work)
+bool RequestRouter::admit(RequestState &state)
 {
-    // The room at a key's holder says nothing of the room at others.
-    if (work.history.sharded) {
+    // Capacity at the owner of one key does not indicate capacity at the owners of others.
+    if (state.history.sharded) {
         return true;
     }
-    RouteRoom &room = roomOf(work);
-    const bool admitted = room.throttle.admit(work.startedAt, random());
+    RouteCapacity &capacity = capacityOf(state);
+    const bool admitted = capacity.throttle.admit(state.startedAt, random());
     if (!admitted) {
         ++counters_.throttled;
-        work.retryAfter = room.retryAfter;
+        state.retryAfter = capacity.retryAfter;
     }
     return admitted;
 }
 
-void RequestRouter::learnRoom(const Work &work, const v1::HopReply &reply)
+void RequestRouter::recordCapacity(const RequestState &state, const v1::HopReply &reply)
 {
-    if (work.history.sharded || work.routes->version() != roomsVersion_) {
+    if (state.history.sharded || state.routes->version() != capacitiesVersion_) {
         return;
     }
-    RouteRoom &room = roomOf(work);
-    const bool accepted = !isWithoutRoom(reply);
-    room.throttle.onEnd(accepted, clock_.now());
+    RouteCapacity &capacity = capacityOf(state);
+    const bool accepted = !isCapacityRefusal(reply);
+    capacity.throttle.onEnd(accepted, clock_.now());
     if (!accepted) {
-        room.retryAfter = work.retryAfter;
+        capacity.retryAfter = state.retryAfter;
     }
 }
 
-bool RequestRouter::takeRepeat(const Work &work, TimePoint now)
+bool RequestRouter::takeRetry(const RequestState &state, TimePoint now)
 {
     FleetRetryBudget &budget
-            = budgets_.try_emplace(work.hop.service(), settings_.retries).first->second;
+            = budgets_.try_emplace(state.hop.service(), settings_.retries).first->second;
     const bool taken = budget.tryTake(view_.members().size(), now);
     counters_.retries += taken ? 1 : 0;
     return taken;
 }
 
-asio::awaitable<void> RequestRouter::awaitRouting(std::shared_ptr<Work> work)
+asio::awaitable<void> RequestRouter::awaitRouting(std::shared_ptr<RequestState> state)
 {
     const TimePoint begun = clock_.now();
-    work->asked.clear();
-    asio::steady_timer timer(context_, OwnerPause);
-    const auto waiter = waiters_.insert(waiters_.end(), {work.get(), &timer});
+    state->tried.clear();
+    asio::steady_timer timer(context_, OwnerRetryInterval);
+    const auto waiter = waiters_.insert(waiters_.end(), {state.get(), &timer});
     boost::system::error_code ignored;
     co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
     waiters_.erase(waiter);
-    work->history.awaitedOwner += clock_.now() - begun;
+    state->history.ownerWaitSpent += clock_.now() - begun;
 }
 
 void RequestRouter::wakeWaiters()
 {
     for (const Waiter &waiter : waiters_) {
-        const RangeEntry *owner = findOwner(*waiter.work);
-        const std::optional<RangeEntry> &seen = waiter.work->routingSeen;
+        const RangeEntry *owner = findOwner(*waiter.state);
+        const std::optional<RangeEntry> &seen = waiter.state->routingSeen;
         if (owner != nullptr && (!seen || !(owner->holder == seen->holder))) {
             waiter.timer->cancel();
         }
@@ -288,30 +292,31 @@
 }
 
 std::vector<NodeId> RequestRouter::usableNodes(const std::vector<const MemberRecord *> &members,
-                                               const Work &work, TimePoint now) const
+                                               const RequestState &state, TimePoint now) const
 {
     std::vector<NodeId> nodes;
     for (const MemberRecord *member : members) {
-        if (work.asked.count(member->node) == 0 && !loads_.isShunned(member->node, now)) {
+        if (state.tried.count(member->node) == 0 && !loads_.isBackingOff(member->node, now)) {
             nodes.push_back(member->node);
         }
     }
     return loads_.outliers().usable(nodes, now);
 }
 
-NodeId RequestRouter::chooseAny(Work &work)
+NodeId RequestRouter::chooseAny(RequestState &state)
 {
     const TimePoint now = clock_.now();
-    const std::vector<const MemberRecord *> &ready = view_.readyMembers(work.hop.service());
-    work.history.candidates = static_cast<uint32_t>(ready.size());
+    const std::vector<const MemberRecord *> &ready = view_.readyMembers(state.hop.service());
+    state.history.candidates = static_cast<uint32_t>(ready.size());
     std::vector<NodeId> nodes;
-    if (ready.size() > InstanceSample) {
+    if (ready.size() > InstanceSampleSize) {
         std::vector<const MemberRecord *> drawn;
-        std::sample(ready.begin(), ready.end(), std::back_inserter(drawn), InstanceSample, random_);
-        nodes = usableNodes(drawn, work, now);
+        std::sample(ready.begin(), ready.end(), std::back_inserter(drawn), InstanceSampleSize,
+                    random_);
+        nodes = usableNodes(drawn, state, now);
     }
     if (nodes.empty()) {
-        nodes = usableNodes(ready, work, now);
+        nodes = usableNodes(ready, state, now);
     }
     std::vector<InstanceLoad> instances;
     for (const NodeId node : nodes) {
@@ -323,64 +328,66 @@
             .value_or(InvalidNode);
 }
 
-const RangeEntry *RequestRouter::findOwner(const Work &work) const
+const RangeEntry *RequestRouter::findOwner(const RequestState &state) const
 {
-    const StoredTable *stored = view_.findTable(work.hop.service());
-    return stored == nullptr ? nullptr : stored->table.find(ShardKey(work.hop.shard_key()));
+    const StoredTable *stored = view_.findTable(state.hop.service());
+    return stored == nullptr ? nullptr : stored->table.find(ShardKey(state.hop.shard_key()));
 }
 
-/** @return Whether @p reply names an owner that is newer than what was known here. */
-bool RequestRouter::learnOwner(Work &work, const v1::HopReply &reply) const
+/** @return Whether @p reply names an owner that is newer than the one known here. */
+bool RequestRouter::recordNamedOwner(RequestState &state, const v1::HopReply &reply) const
 {
-    const KeyOwner told{NodeId(reply.owner_node()), Epoch(reply.epoch())};
-    const RangeEntry *entry = findOwner(work);
-    const bool isNewer = told.node != InvalidNode && (entry == nullptr || told.fence > entry->fence)
-                         && (!work.toldOwner || told.fence > work.toldOwner->fence);
+    const KeyOwner named{NodeId(reply.owner_node()), Epoch(reply.epoch())};
+    const RangeEntry *entry = findOwner(state);
+    const bool isNewer = named.node != InvalidNode
+                         && (entry == nullptr || named.fence > entry->fence)
+                         && (!state.namedOwner || named.fence > state.namedOwner->fence);
     if (isNewer) {
-        work.toldOwner = told;
+        state.namedOwner = named;
     }
     return isNewer;
 }
 
-NodeId RequestRouter::chooseTarget(Work &work)
+NodeId RequestRouter::chooseTarget(RequestState &state)
 {
-    if (!work.history.sharded) {
-        return chooseAny(work);
+    if (!state.history.sharded) {
+        return chooseAny(state);
     }
-    const RangeEntry *entry = findOwner(work);
-    work.routingSeen = entry == nullptr ? std::nullopt : std::optional<RangeEntry>(*entry);
-    if (work.toldOwner && (entry == nullptr || work.toldOwner->fence > entry->fence)) {
-        return work.toldOwner->node;
+    const RangeEntry *entry = findOwner(state);
+    state.routingSeen = entry == nullptr ? std::nullopt : std::optional<RangeEntry>(*entry);
+    if (state.namedOwner && (entry == nullptr || state.namedOwner->fence > entry->fence)) {
+        return state.namedOwner->node;
     }
     return entry == nullptr ? InvalidNode : entry->holder.node;
 }
 
-asio::awaitable<v1::HopReply> RequestRouter::attempt(std::shared_ptr<Work> work)
+asio::awaitable<v1::HopReply> RequestRouter::attempt(std::shared_ptr<RequestState> state)
 {
     const TimePoint now = clock_.now();
-    work->target = chooseTarget(*work);
-    ++work->history.asked;
-    const MemberRecord *member = view_.findMember(work->target);
+    state->target = chooseTarget(*state);
+    ++state->history.tried;
+    const MemberRecord *member = view_.findMember(state->target);
     if (member == nullptr) {
         co_return makeOutcomeReply(RequestStage::Received, RequestEnd::NoBackend);
     }
-    work->asked.insert(work->target);
-    if (gate_.mayOutlive(work->deadline, now)) {
-        // Its caller's connection would be cut with this process while the request runs elsewhere.
+    state->tried.insert(state->target);
+    if (gate_.mayOutlive(state->deadline, now)) {
+        // The process may end first and close the caller's connection while the request still
+        // runs at another node.
         co_return makeOutcomeReply(RequestStage::Received, RequestEnd::NoBackend);
     }
-    if (loads_.isShunned(work->target, now)) {
-        // Its keys are served again when the node is back or its lease has been taken away, in
-        // seconds: whoever waits here for a connection that cannot come is refused later instead.
+    if (loads_.isBackingOff(state->target, now)) {
+        // The keys of an unreachable node are served again when it is back or its lease has been
+        // revoked, in seconds. Waiting for a connection would only delay the refusal.
         v1::HopReply reply = makeOutcomeReply(RequestStage::Received, RequestEnd::NoLease);
-        reply.set_retry_after_ms(RetryLost.count());
+        reply.set_retry_after_ms(RetryAfterLostNode.count());
         co_return reply;
     }
-    v1::HopRequest &hop = work->hop;
-    hop.set_request_id(++lastRequest_);
-    hop.set_deadline_left_ms(leftUntil(work->deadline, now).count());
-    hop.set_objective_left_ms(leftUntil(work->objective, now).count());
-    const NodeId target = work->target;
+    v1::HopRequest &hop = state->hop;
+    hop.set_request_id(++lastRequestId_);
+    hop.set_deadline_left_ms(timeUntil(state->deadline, now).count());
+    hop.set_objective_left_ms(timeUntil(state->objective, now).count());
+    const NodeId target = state->target;
     if (target == settings_.node) {
         loads_.onSent(target);
         v1::HopReply reply = co_await gate_.run(hop);
@@ -404,7 +411,7 @@
         const FailureCode code = bytes.assume_error().code;
         const bool neverSent = code == FailureCode::Unavailable;
         reply = neverSent ? makeOutcomeReply(RequestStage::Received, RequestEnd::Unreachable)
-                          : makeOutcomeReply(RequestStage::Sent, endOfExchange(code, false));
+                          : makeOutcomeReply(RequestStage::Sent, requestEndOfExchange(code, false));
         reply.set_reached_backend(!neverSent);
     } else if (!reply.ParseFromString(bytes.assume_value())
                || reply.outcome() == v1::HOP_OUTCOME_UNSPECIFIED) {
@@ -413,7 +420,7 @@
     }
     const TimePoint now = clock_.now();
     loads_.onReply(member.node, reply, reached, now);
-    hearNews(reply, now);
+    readRevisions(reply, now);
     co_return reply;
 }
 
@@ -425,38 +432,39 @@
     const bool answered = answer && reply.ParseFromString(answer.assume_value());
     const TimePoint now = clock_.now();
     loads_.onReply(member.node, reply, answered, now);
-    hearNews(reply, now);
+    readRevisions(reply, now);
     co_return answered;
 }
 
-void RequestRouter::tellNews(v1::HopReply &reply) const
+void RequestRouter::addRevisions(v1::HopReply &reply) const
 {
-    if (news_ == nullptr) {
+    if (revisions_ == nullptr) {
         return;
     }
-    KnownRevisions known = news_->news();
+    KnownRevisions known = revisions_->news();
     reply.mutable_news()->set_configuration(known[RecordKind::Configuration].value());
     reply.mutable_news()->set_members(known[RecordKind::Members].value());
     reply.mutable_news()->set_ranges(known[RecordKind::Ranges].value());
 }
 
-void RequestRouter::hearNews(const v1::HopReply &reply, TimePoint now)
+void RequestRouter::readRevisions(const v1::HopReply &reply, TimePoint now)
 {
-    if (news_ == nullptr || !reply.has_news()) {
+    if (revisions_ == nullptr || !reply.has_news()) {
         return;
     }
-    const v1::StoreNews &told = reply.news();
-    news_->onPeerRevisions({{RecordKind::Configuration, StoreRevision(told.configuration())},
-                            {RecordKind::Members, StoreRevision(told.members())},
-                            {RecordKind::Ranges, StoreRevision(told.ranges())}},
-                           now);
+    const v1::StoreNews &received = reply.news();
+    revisions_->onPeerRevisions(
+            {{RecordKind::Configuration, StoreRevision(received.configuration())},
+             {RecordKind::Members, StoreRevision(received.members())},
+             {RecordKind::Ranges, StoreRevision(received.ranges())}},
+            now);
 }
 
 asio::awaitable<std::string> RequestRouter::onProbe()
 {
     v1::HopReply reply;
     *reply.mutable_load() = gate_.load(clock_.now());
-    tellNews(reply);
+    addRevisions(reply);
     co_return reply.SerializeAsString();
 }
 
@@ -470,7 +478,7 @@
         gate_.cancel(hop.origin_node(), hop.request_id());
     } else {
         reply = co_await gate_.run(std::move(hop));
-        tellNews(reply);
+        addRevisions(reply);
     }
     co_return reply.SerializeAsString();
 }
@@ -494,7 +502,7 @@
     (void)co_await peers_.call(copy, HopPath, std::move(body), CancelTimeout);
 }
 
-HttpResponse RequestRouter::makeAnswer(const Work &work, v1::HopReply reply)
+HttpResponse RequestRouter::makeResponse(const RequestState &state, v1::HopReply reply)
 {
     const Outcome outcome = outcomeOf(reply);
     HttpResponse response;
@@ -507,20 +515,22 @@
         response.body() = std::move(*reply.mutable_body());
     } else if (outcome == Outcome::NotRun) {
         ++counters_.notRun;
-        // Callers that were refused together would come back together.
+        // Callers that were refused at the same time would otherwise retry at the same time.
         constexpr double Spread = 0.5;
-        const milliseconds base = work.retryAfter.count() > 0 ? work.retryAfter : RetryDefault;
+        const milliseconds base
+                = state.retryAfter.count() > 0 ? state.retryAfter : DefaultRetryAfter;
         const double factor = 1 + Spread * random();
         const auto wait = std::chrono::duration_cast<milliseconds>(base * factor);
         response = refuse(http::status::service_unavailable, reply.reason(),
                           "The request has not run.", wait);
     } else {
         ++counters_.unknown;
-        const bool late = reply.reason() == "deadline-over";
-        response = refuse(late ? http::status::gateway_timeout : http::status::bad_gateway,
+        const bool deadlineExceeded = reply.reason() == "deadline-over";
+        response = refuse(deadlineExceeded ? http::status::gateway_timeout
+                                           : http::status::bad_gateway,
                           reply.reason(), "The request may have run.", milliseconds(0));
     }
-    logEnd(work, reply, response.result_int());
+    logEnd(state, reply, response.result_int());
     return response;
 }
 
@@ -532,24 +542,24 @@
     }
 }
 
-void RequestRouter::logEnd(const Work &work, const v1::HopReply &reply, unsigned status)
+void RequestRouter::logEnd(const RequestState &state, const v1::HopReply &reply, unsigned status)
 {
     const TimePoint now = clock_.now();
-    const auto took = std::chrono::duration_cast<milliseconds>(now - work.startedAt);
+    const auto took = std::chrono::duration_cast<milliseconds>(now - state.startedAt);
     if (duration_ != nullptr) {
-        duration_->observe(std::chrono::duration<double>(now - work.startedAt).count());
+        duration_->observe(std::chrono::duration<double>(now - state.startedAt).count());
     }
     if (!lines_.tryTake(now)) {
         return;
     }
-    lines_.log({{"request", work.hop.attempt_id()},
-                {"route", work.route->name},
-                {"config", work.routes->version()},
-                {"service", work.hop.service()},
-                {"key", work.hop.keyed() ? static_cast<int64_t>(work.hop.shard_key()) : -1},
-                {"node", work.target.value()},
-                {"asked", work.history.asked},
-                {"reached", work.history.reached},
+    lines_.log({{"request", state.hop.attempt_id()},
+                {"route", state.route->name},
+                {"config", state.routes->version()},
+                {"service", state.hop.service()},
+                {"key", state.hop.keyed() ? static_cast<int64_t>(state.hop.shard_key()) : -1},
+                {"node", state.target.value()},
+                {"asked", state.history.tried},
+                {"reached", state.history.reached},
                 {"status", status},
                 {"reason", reply.reason()},
                 {"running", reply.load().running()},
--- a/src/duty/request_router.h
+++ b/src/duty/request_router.h
@@ -1,4 +1,4 @@
-/** @file request_router.h Callers' requests: finds the route and the instance, tries, answers. */
+/** @file request_router.h Ingress node of a request: routing, choice of the instance, retries. */
 
 #pragma once
 
@@ -21,7 +21,7 @@
 
 namespace wisteriahoist {
 
-/** What the router has to know of its own node. */
+/** Settings of the router's own node. */
 struct RouterSettings {
     NodeId node;
     std::string failureDomain;
@@ -29,21 +29,21 @@
     FleetRetryLimits retries;
 };
 
-/** What the router counts. */
+/** Counters of the router. */
 struct RouterCounters {
     uint64_t requests = 0;
-    uint64_t served = 0; ///< With an instance's own answer.
+    uint64_t served = 0; ///< Answered by an instance.
     uint64_t notRun = 0;
     uint64_t unknown = 0;
     uint64_t forwarded = 0; ///< Attempts at other nodes.
-    uint64_t retries = 0;   ///< Attempts that drew on the budget.
+    uint64_t retries = 0;   ///< Attempts that used the retry budget.
     uint64_t callersDisconnected = 0;
-    uint64_t throttled = 0; ///< Refused without asking any node for room.
+    uint64_t throttled = 0; ///< Refused without asking any node for a slot.
 };
 
 /**
- * The first node of a request: the one that its caller is connected to. Only this node tries
- * again, so a request makes as many attempts as its route allows whatever the number of hops.
+ * The ingress node of a request: the node that its caller is connected to. Only this node retries,
+ * so a request makes at most the attempts of its route, independent of the number of hops.
  */
 class RequestRouter
 {
@@ -55,25 +55,26 @@
     asio::awaitable<HttpResponse> onRequest(HttpRequest request,
                                             std::shared_ptr<DisconnectSignal> caller);
 
-    /** @return Whether @p member answers at all. */
+    /** @return Whether @p member answers a call. */
     asio::awaitable<bool> probe(MemberRecord member);
 
-    size_t openRequests() const { return open_; }
+    size_t openRequests() const { return openRequests_; }
     const RouterCounters &counters() const { return counters_; }
     uint64_t droppedLines() const { return lines_.dropped(); }
 
-    /** @param duration Gets the seconds from each request to its answer. */
+    /** @param duration Observes the seconds from each request to its response. */
     void observeWith(Histogram &duration) { duration_ = &duration; }
 
-    /** Each answer between nodes tells what the answering one has heard of the store. */
-    void setRevisionExchange(RevisionExchange &news) { news_ = &news; }
+    /** Adds the store revisions known to @p exchange to each reply to another node, and passes on
+     * those received in replies. */
+    void setRevisionExchange(RevisionExchange &exchange) { revisions_ = &exchange; }
 
-    /** Takes over another budget; what was spent of the old one is forgotten. */
+    /** Replaces the limits of the retry budget; what was spent of the old one is forgotten. */
     void setRetryLimits(const FleetRetryLimits &retries);
 
 private:
-    /** One caller's request and its attempts. */
-    struct Work {
+    /** One caller's request and the state of its attempts. */
+    struct RequestState {
         std::shared_ptr<const RouteTable> routes; ///< Keeps route alive.
         const Route *route = nullptr;
         v1::HopRequest hop;
@@ -82,48 +83,50 @@
         TimePoint startedAt;
         TimePoint deadline;
         TimePoint objective;
-        NodeId target; ///< Of the present attempt.
-        std::set<NodeId> asked;
+        NodeId target; ///< Of the current attempt.
+        std::set<NodeId> tried;
         std::optional<RangeEntry> routingSeen; ///< Of its key, when the target was chosen.
-        std::optional<KeyOwner> toldOwner;     ///< By a node that holds the key no more.
-        milliseconds retryAfter{0};            ///< The shortest that any node gave.
-        v1::HopReply earlierAnswer;            ///< Set if history.answered.
+        std::optional<KeyOwner> namedOwner;    ///< Named by a node that no longer owns the key.
+        milliseconds retryAfter{0};            ///< The shortest that a node returned.
+        v1::HopReply earlierReply;             ///< Valid if history.answered.
     };
 
-    /** What this node has learned of the room for one route's requests. */
-    struct RouteRoom {
+    /** Known capacity for one route's requests. */
+    struct RouteCapacity {
         AdaptiveThrottle throttle;
-        milliseconds retryAfter{0}; ///< That the latest refusal gave.
+        milliseconds retryAfter{0}; ///< From the latest refusal.
     };
 
     HttpResponse refuse(http::status status, std::string_view type, const std::string &detail,
                         milliseconds retryAfter) const;
-    std::shared_ptr<Work> makeWork(const HttpRequest &request, const RequestMetadata &terms,
-                                   const Route &route, std::shared_ptr<DisconnectSignal> caller);
-    asio::awaitable<v1::HopReply> runAttempts(std::shared_ptr<Work> work);
-    asio::awaitable<v1::HopReply> attempt(std::shared_ptr<Work> work);
+    std::shared_ptr<RequestState> makeState(const HttpRequest &request,
+                                            const RequestMetadata &metadata, const Route &route,
+                                            std::shared_ptr<DisconnectSignal> caller);
+    asio::awaitable<v1::HopReply> runAttempts(std::shared_ptr<RequestState> state);
+    asio::awaitable<v1::HopReply> attempt(std::shared_ptr<RequestState> state);
     asio::awaitable<v1::HopReply> forward(MemberRecord member, const v1::HopRequest &hop);
     asio::awaitable<std::string> onHop(std::string body);
     asio::awaitable<std::string> onProbe();
-    void tellNews(v1::HopReply &reply) const;
-    void hearNews(const v1::HopReply &reply, TimePoint now);
-    asio::awaitable<void> awaitRouting(std::shared_ptr<Work> work);
+    void addRevisions(v1::HopReply &reply) const;
+    void readRevisions(const v1::HopReply &reply, TimePoint now);
+    asio::awaitable<void> awaitRouting(std::shared_ptr<RequestState> state);
     asio::awaitable<void> sendCancel(NodeId target, uint64_t requestId);
-    const RangeEntry *findOwner(const Work &work) const;
-    bool learnOwner(Work &work, const v1::HopReply &reply) const;
+    const RangeEntry *findOwner(const RequestState &state) const;
+    bool recordNamedOwner(RequestState &state, const v1::HopReply &reply) const;
     void wakeWaiters();
-    NodeId chooseTarget(Work &work);
-    NodeId chooseAny(Work &work);
-    /** @return Those of @p members that the request has not asked and that are not left out. */
+    NodeId chooseTarget(RequestState &state);
+    NodeId chooseAny(RequestState &state);
+    /** @return Those of @p members that the request has not tried and that are not left out. */
     std::vector<NodeId> usableNodes(const std::vector<const MemberRecord *> &members,
-                                    const Work &work, TimePoint now) const;
-    static v1::HopReply finalReply(Work &work, v1::HopReply reply, const AttemptEnd &end);
-    bool takeRepeat(const Work &work, TimePoint now);
-    RouteRoom &roomOf(const Work &work);
-    bool admit(Work &work);
-    void learnRoom(const Work &work, const v1::HopReply &reply);
-    HttpResponse makeAnswer(const Work &work, v1::HopReply reply);
-    void logEnd(const Work &work, const v1::HopReply &reply, unsigned status);
+                                    const RequestState &state, TimePoint now) const;
+    static v1::HopReply finalReply(RequestState &state, v1::HopReply reply,
+                                   const AttemptResult &end);
+    bool takeRetry(const RequestState &state, TimePoint now);
+    RouteCapacity &capacityOf(const RequestState &state);
+    bool admit(RequestState &state);
+    void recordCapacity(const RequestState &state, const v1::HopReply &reply);
+    HttpResponse makeResponse(const RequestState &state, v1::HopReply reply);
+    void logEnd(const RequestState &state, const v1::HopReply &reply, unsigned status);
     double random() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
     asio::io_context &context_;
@@ -136,23 +139,23 @@
     PeerLink &peers_;
     TargetPicker targets_;
     std::map<std::string, FleetRetryBudget> budgets_; ///< By service.
-    std::map<std::string, RouteRoom> rooms_;          ///< By route, of one configuration.
-    uint64_t roomsVersion_ = 0;                       ///< Of that configuration.
+    std::map<std::string, RouteCapacity> capacities_; ///< By route, for one configuration.
+    uint64_t capacitiesVersion_ = 0;                  ///< Version of that configuration.
     std::mt19937_64 random_;
     RouterCounters counters_;
-    /// Lines of about 300 bytes: 60 KB/s at most. A node of the users' sites answers 30 to 60
-    /// requests a second and stays below it.
+    /// Lines of about 300 bytes: at most 60 KB/s. A node of the users' sites answers 30 to 60
+    /// requests per second and stays below this limit.
     RateLimitedEvent lines_{LogEvent::RequestEnded, 200, 400};
     Histogram *duration_ = nullptr;
-    RevisionExchange *news_ = nullptr;
-    /** A request that waits until its key has another holder. */
+    RevisionExchange *revisions_ = nullptr;
+    /** A request that waits for a new owner of its key. */
     struct Waiter {
-        const Work *work = nullptr;
+        const RequestState *state = nullptr;
         asio::steady_timer *timer = nullptr;
     };
     std::list<Waiter> waiters_;
-    uint64_t lastRequest_ = 0;
-    size_t open_ = 0;
+    uint64_t lastRequestId_ = 0;
+    size_t openRequests_ = 0;
 };
 
 } // namespace wisteriahoist
--- a/src/duty/slot_queue.cpp
+++ b/src/duty/slot_queue.cpp
@@ -1,4 +1,5 @@
-/** @file slot_queue.cpp Waiting for a slot of the backend server, as the pure queue decides. */
+/** @file slot_queue.cpp Lets requests wait for a slot of the backend server, in the
+ * order decided by AdmissionQueue. */
 
 #include "duty/slot_queue.h"
 
@@ -32,8 +33,8 @@
         co_return RequestEnd::Overloaded;
     }
     waiters_[id] = waiter;
-    if (!waking_) {
-        waking_ = true;
+    if (!wakeLoopRunning_) {
+        wakeLoopRunning_ = true;
         asio::co_spawn(context_, wakeLoop(), asio::detached);
     }
     const Duration wait = std::min(deadline, queueDeadline) - clock_.now();
@@ -84,7 +85,7 @@
 
 asio::awaitable<void> SlotQueue::wakeLoop()
 {
-    // A back-off or a slow start frees slots by time alone; no release() would notice.
+    // After a back-off or during slow start slots become free without a call of release().
     asio::steady_timer timer(context_);
     while (queue_.size() > 0) {
         timer.expires_after(WakeInterval);
@@ -92,7 +93,7 @@
         co_await timer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         wake();
     }
-    waking_ = false;
+    wakeLoopRunning_ = false;
 }
 
 } // namespace wisteriahoist
--- a/src/duty/slot_queue.h
+++ b/src/duty/slot_queue.h
@@ -1,4 +1,5 @@
-/** @file slot_queue.h Waiting for a slot of the backend server, as the pure queue decides. */
+/** @file slot_queue.h Lets requests wait for a slot of the backend server, in the
+ * order decided by AdmissionQueue. */
 
 #pragma once
 
@@ -17,31 +18,31 @@
 /** One request that waits for a slot. */
 struct SlotWaiter {
     explicit SlotWaiter(boost::asio::io_context &context) : timer(context) { }
-    boost::asio::steady_timer timer; ///< Cancelled when the wait is over early.
+    boost::asio::steady_timer timer; ///< Cancelled when the wait ends early.
     bool granted = false;            ///< The slot is already counted as running.
-    bool cancelled = false;          ///< Its caller has gone.
+    bool cancelled = false;          ///< Its caller has disconnected.
 };
 
-/** Slots and queue of one backend server. Runs on the gate's thread. */
+/** Slots and queue of one backend server. Used by the gate's thread. */
 class SlotQueue
 {
 public:
     SlotQueue(boost::asio::io_context &context, const Clock &clock, QueueLimits limits);
 
-    /** A backend server has come up or been replaced. */
+    /** A backend server has started or has been replaced. */
     void onBackend(uint32_t slots) { limiter_.onBackend(slots, clock_.now()); }
 
     /**
      * Waits for a slot.
-     * @return None with the slot taken, to be given back by release(); else why there is none.
+     * @return None if a slot was taken, to be returned by release(); else why there is none.
      */
     boost::asio::awaitable<RequestEnd> acquire(std::shared_ptr<SlotWaiter> waiter,
                                                TimePoint deadline, TimePoint queueDeadline);
 
-    /** Gives a slot back. @param shed The backend server refused the request. */
+    /** Returns a slot. @param shed Whether the backend server refused the request. */
     void release(bool shed);
 
-    /** The waiter's caller has gone. */
+    /** The caller of the waiting request has disconnected. */
     static void cancel(SlotWaiter &waiter);
 
     uint32_t running() const { return running_; }
@@ -58,8 +59,8 @@
     SlotLimiter limiter_{SlotTimes{}};
     std::map<uint64_t, std::shared_ptr<SlotWaiter>> waiters_; ///< Superset of the queue's ids.
     uint64_t lastId_ = 0;
-    uint32_t running_ = 0; ///< Invariant: when it rises, it is below the limiter's limit.
-    bool waking_ = false;  ///< Invariant: at most one wake loop runs.
+    uint32_t running_ = 0; ///< Invariant: below the limiter's limit whenever it is incremented.
+    bool wakeLoopRunning_ = false; ///< Invariant: at most one wake loop runs.
 };
 
 } // namespace wisteriahoist
--- a/src/duty/witness_contact.cpp
+++ b/src/duty/witness_contact.cpp
@@ -1,4 +1,4 @@
-/** @file witness_contact.cpp Heartbeats to witnesses, answers to others' heartbeats, fences. */
+/** @file witness_contact.cpp Heartbeats to witnesses, and this node's own service as a witness. */
 
 #include "duty/witness_contact.h"
 
@@ -15,14 +15,14 @@
 constexpr std::string_view HeartbeatPath = "/heartbeat";
 constexpr std::string_view FencePath = "/fence";
 constexpr milliseconds CallTimeout{400};
-/** A witness that could not be reached for so long is replaced in the next renewal. */
+/** A witness that has been unreachable for this time is replaced in the next renewal. */
 constexpr milliseconds ReplaceAfter{800};
 
-std::string encodeRequest(NodeId node, Incarnation life)
+std::string encodeRequest(NodeId node, Incarnation incarnation)
 {
     v1::ContactRequest request;
     request.set_node_id(node.value());
-    request.set_life(life.value());
+    request.set_life(incarnation.value());
     return request.SerializeAsString();
 }
 
@@ -30,7 +30,8 @@
 
 Incarnation generateIncarnation(RandomSource &random)
 {
-    constexpr unsigned Spare = 1; // Bits that a signed number of 64 bits has no room for.
+    // Bits dropped so that the value fits into a signed 64-bit integer.
+    constexpr unsigned Spare = 1;
     return Incarnation(random.next() >> Spare | 1U);
 }
 
@@ -39,7 +40,7 @@
                                GrantAuthority &authority, NodeId self, std::string failureDomain)
     : context_(context), clock_(clock), peers_(peers), view_(view), loads_(loads),
       authority_(authority), self_(self), failureDomain_(std::move(failureDomain)),
-      deskLife_(generateIncarnation(random))
+      witnessIncarnation_(generateIncarnation(random))
 {
     peers_.serve(std::string(HeartbeatPath),
                  [this](std::string body) { return onHeartbeat(std::move(body)); });
@@ -60,7 +61,7 @@
         const MemberRecord *member = view_.findMember(node);
         return member == nullptr || !isUsable(*member, now);
     });
-    // By a hash of both, so that no node becomes everybody's witness.
+    // Ranked by a hash of both ids, so that no node is chosen as witness by all others.
     std::vector<std::pair<uint64_t, const MemberRecord *>> ranked;
     for (const auto &[node, member] : view_.members()) {
         if (isUsable(member, now)) {
@@ -79,7 +80,7 @@
             }
         }
     };
-    // One elsewhere first: the own failure domain may be cut off as a whole.
+    // One witness in another failure domain first: the own domain may be cut off as a whole.
     const auto isElsewhere
             = [this](const MemberRecord &member) { return member.failureDomain != failureDomain_; };
     const bool hasElsewhere = std::any_of(witnesses_.begin(), witnesses_.end(), [&](NodeId node) {
@@ -98,7 +99,7 @@
     return witnesses_;
 }
 
-void WitnessContact::sendHeartbeats(Incarnation life, std::function<bool()> isCurrent,
+void WitnessContact::sendHeartbeats(Incarnation incarnation, std::function<bool()> isCurrent,
                                     std::function<void()> fenced, TimePoint now)
 {
     if (now - sentAt_ < times_.heartbeatEvery) {
@@ -107,18 +108,18 @@
     sentAt_ = now;
     for (const NodeId node : witnesses_) {
         if (const MemberRecord *member = view_.findMember(node)) {
-            asio::co_spawn(context_, sendHeartbeat(*member, life, isCurrent, fenced),
+            asio::co_spawn(context_, sendHeartbeat(*member, incarnation, isCurrent, fenced),
                            asio::detached);
         }
     }
 }
 
-asio::awaitable<void> WitnessContact::sendHeartbeat(MemberRecord witness, Incarnation life,
+asio::awaitable<void> WitnessContact::sendHeartbeat(MemberRecord witness, Incarnation incarnation,
                                                     std::function<bool()> isCurrent,
                                                     std::function<void()> fenced)
 {
     const TimePoint sentAt = clock_.now();
-    std::string body = encodeRequest(self_, life);
+    std::string body = encodeRequest(self_, incarnation);
     Result<std::string> answer
             = co_await peers_.call(witness, HeartbeatPath, std::move(body), CallTimeout);
     const TimePoint now = clock_.now();
@@ -127,7 +128,7 @@
         loads_.onUnanswered(witness.node, now);
         co_return;
     }
-    loads_.onHeard(witness.node, now);
+    loads_.onAnswered(witness.node, now);
     if (!isCurrent()) {
         co_return;
     }
@@ -142,7 +143,7 @@
 {
     v1::ContactRequest request;
     v1::ContactReply reply;
-    reply.set_witness_life(deskLife_.value());
+    reply.set_witness_life(witnessIncarnation_.value());
     if (request.ParseFromString(body)) {
         reply.set_accepted(desk_.onHeartbeat(NodeId(request.node_id()), Incarnation(request.life()),
                                              clock_.now()));
@@ -154,7 +155,7 @@
 {
     v1::ContactRequest request;
     v1::ContactReply reply;
-    reply.set_witness_life(deskLife_.value());
+    reply.set_witness_life(witnessIncarnation_.value());
     if (request.ParseFromString(body)) {
         reply.set_accepted(desk_.onFence(NodeId(request.node_id()), Incarnation(request.life()),
                                          clock_.now()));
@@ -165,13 +166,14 @@
     co_return reply.SerializeAsString();
 }
 
-asio::awaitable<FenceReply> WitnessContact::fence(NodeId witness, NodeId node, Incarnation life)
+asio::awaitable<FenceReply> WitnessContact::fence(NodeId witness, NodeId node,
+                                                  Incarnation incarnation)
 {
     FenceReply fence;
     if (witness == self_) {
-        fence.result = desk_.onFence(node, life, clock_.now()) ? FenceResult::Fenced
-                                                               : FenceResult::StillInContact;
-        fence.witnessLife = deskLife_;
+        fence.result = desk_.onFence(node, incarnation, clock_.now()) ? FenceResult::Fenced
+                                                                      : FenceResult::RecentlyHeard;
+        fence.witnessLife = witnessIncarnation_;
         co_return fence;
     }
     const MemberRecord *member = view_.findMember(witness);
@@ -179,12 +181,12 @@
         co_return fence;
     }
     const MemberRecord copy = *member;
-    std::string body = encodeRequest(node, life);
+    std::string body = encodeRequest(node, incarnation);
     Result<std::string> answer
             = co_await peers_.call(copy, FencePath, std::move(body), CallTimeout);
     v1::ContactReply reply;
     if (answer && !answer.assume_value().empty() && reply.ParseFromString(answer.assume_value())) {
-        fence.result = reply.accepted() ? FenceResult::Fenced : FenceResult::StillInContact;
+        fence.result = reply.accepted() ? FenceResult::Fenced : FenceResult::RecentlyHeard;
         fence.witnessLife = Incarnation(reply.witness_life());
     }
     co_return fence;
--- a/src/duty/witness_contact.h
+++ b/src/duty/witness_contact.h
@@ -1,4 +1,4 @@
-/** @file witness_contact.h Heartbeats to witnesses, answers to others' heartbeats, fences. */
+/** @file witness_contact.h Heartbeats to witnesses, and this node's own service as a witness. */
 
 #pragma once
 
@@ -15,23 +15,23 @@
 
 namespace asio = boost::asio;
 
-/** @return A number that names one life of a process, or one session of it; never 0. */
+/** @return A random incarnation of a process or of one of its sessions; never 0. */
 Incarnation generateIncarnation(RandomSource &random);
 
-/** How a fence at one witness ended. */
+/** Result of a fence call to one witness. */
 enum class FenceResult {
     Fenced,
-    StillInContact, ///< The witness has heard of the node lately.
+    RecentlyHeard, ///< The witness has received a heartbeat of the node recently.
     NoAnswer,
 };
 
-/** A fence with the life of the witness that made it. */
+/** Result of a fence call, with the incarnation of the witness that answered. */
 struct FenceReply {
     FenceResult result = FenceResult::NoAnswer;
     Incarnation witnessLife;
 };
 
-/** Carries the messages of GrantAuthority, HeartbeatWitness and Takeover. Used by one thread. */
+/** Exchanges the messages of GrantAuthority, HeartbeatWitness and Takeover. Used by one thread. */
 class WitnessContact
 {
 public:
@@ -40,21 +40,22 @@
                    NodeId self, std::string failureDomain);
 
     /**
-     * Sends a heartbeat of @p life to each witness, if it is time.
-     * @param isCurrent Whether that is still the life; an answer to an earlier one counts nothing.
-     * @param fenced Runs if a witness refuses the life.
+     * Sends a heartbeat of @p incarnation to each witness, if one is due.
+     * @param isCurrent Whether @p incarnation is still the current one; if not, the reply is
+     * ignored.
+     * @param fenced Called if a witness has fenced the incarnation.
      */
-    void sendHeartbeats(Incarnation life, std::function<bool()> isCurrent,
+    void sendHeartbeats(Incarnation incarnation, std::function<bool()> isCurrent,
                         std::function<void()> fenced, TimePoint now);
 
-    /** @return The witnesses to name in the next renewal; those that answer are kept. */
+    /** @return The witnesses to name in the next renewal; those that answer are retained. */
     std::set<NodeId> chooseWitnesses(TimePoint now);
 
-    /** Asks @p witness to fence @p life of @p node. */
-    asio::awaitable<FenceReply> fence(NodeId witness, NodeId node, Incarnation life);
+    /** Calls @p witness to fence @p incarnation of @p node. */
+    asio::awaitable<FenceReply> fence(NodeId witness, NodeId node, Incarnation incarnation);
 
 private:
-    asio::awaitable<void> sendHeartbeat(MemberRecord witness, Incarnation life,
+    asio::awaitable<void> sendHeartbeat(MemberRecord witness, Incarnation incarnation,
                                         std::function<bool()> isCurrent,
                                         std::function<void()> fenced);
     asio::awaitable<std::string> onHeartbeat(std::string body);
@@ -71,7 +72,7 @@
     std::string failureDomain_;
     WitnessTimes times_;
     HeartbeatWitness desk_{WitnessTimes{}};
-    Incarnation deskLife_; ///< Of this process as a witness.
+    Incarnation witnessIncarnation_; ///< Of this process as a witness.
     std::set<NodeId> witnesses_;
     TimePoint sentAt_ = NeverTime;
 };
--- a/test/support/scripted_backend.h
+++ b/test/support/scripted_backend.h
@@ -1,4 +1,4 @@
-/** @file scripted_backend.h A raw-socket server that fails at a chosen step; a runner for loops. */
+/** @file scripted_backend.h A raw-socket server that fails at a chosen step; helpers for loops. */
 
 #pragma once
 
@@ -18,14 +18,14 @@
 
 namespace wisteriahoist::testing {
 
-/** What the server does with one request. */
+/** How the server handles one request. */
 struct BackendScript {
-    std::string answer;       ///< Written as it stands.
-    milliseconds delay{0};    ///< Before the answer.
-    bool close = false;       ///< Closes after the answer (or instead, if that is empty).
+    std::string answer;       ///< Written unchanged.
+    milliseconds delay{0};    ///< Before the response.
+    bool close = false;       ///< Closes after the response, or instead of it if it is empty.
     bool silent = false;      ///< Neither answers nor closes.
     bool closeUnread = false; ///< Closes at once, without reading.
-    /** A second answer to an earlier request: written first, unless the connection is new. */
+    /** Second response to an earlier request: written first, unless the connection is new. */
     std::string stray{};
 };
 
@@ -34,7 +34,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/** Plays one script for each request, in order; the last one again and again. */
+/** Runs one script per request, in order, and repeats the last one. */
 class ScriptedBackend : public std::enable_shared_from_this<ScriptedBackend>
 {
 public:
@@ -114,13 +114,13 @@
     asio::io_context &context_;
     tcp::acceptor acceptor_;
     std::vector<BackendScript> scripts_;
-    std::vector<std::string> requests_; ///< Heads, as read.
+    std::vector<std::string> requests_; ///< Heads of the requests, as read.
     size_t next_ = 0;
     size_t connections_ = 0;
-    size_t lostConnections_ = 0; ///< Ended by the other side.
+    size_t lostConnections_ = 0; ///< Closed by the client.
 };
 
-/** Runs @p context until @p work has ended. @return Its result. */
+/** Runs @p context until @p work has ended. @return The result of @p work. */
 template <typename T>
 T runUntil(asio::io_context &context, asio::awaitable<T> work)
 {
@@ -135,7 +135,7 @@
     return std::move(*result);
 }
 
-/** Runs @p context until @p holds, at most for ten seconds. @return Whether it came to hold. */
+/** Runs @p context until @p holds returns true, for at most ten seconds. @return Whether it did. */
 inline bool runUntilHolds(asio::io_context &context, const std::function<bool()> &holds)
 {
     context.restart();
--- a/test/unit/request/adaptive_throttle_test.cpp
+++ b/test/unit/request/adaptive_throttle_test.cpp
@@ -1,4 +1,4 @@
-/** @file adaptive_throttle_test.cpp First nodes of a fleet whose instances are all full. */
+/** @file adaptive_throttle_test.cpp Throttling by the ingress nodes of an overloaded fleet. */
 
 #include "decision/request/adaptive_throttle.h"
 #include "support/test_section.h"
@@ -15,15 +15,15 @@
 constexpr TimePoint Start{std::chrono::hours(1)};
 constexpr milliseconds Step{10};
 constexpr milliseconds Service{200};
-constexpr size_t FirstNodes = 60;
+constexpr size_t IngressNodes = 60;
 constexpr size_t Instances = 20;
 constexpr size_t Slots = 9;
-constexpr size_t Asks = 3;
+constexpr size_t MaxTried = 3;
 
-/** What became of the requests of some seconds. */
-struct Tally {
+/** Counts of the requests of one run. */
+struct RunCounts {
     size_t arrived = 0;
-    size_t passed = 0; ///< Not refused by the first node.
+    size_t passed = 0; ///< Not refused by the ingress node.
     size_t hops = 0;
     size_t served = 0;
 
@@ -33,18 +33,18 @@
     }
 };
 
-/** Instances that refuse what finds no slot, and first nodes that ask up to three of them. */
-class FullFleet
+/** Instances that refuse requests without a free slot, and nodes that try up to three of them. */
+class OverloadedFleet
 {
 public:
-    explicit FullFleet(bool throttled)
-        : throttled_(throttled), throttles_(FirstNodes), ends_(Instances)
+    explicit OverloadedFleet(bool throttled)
+        : throttled_(throttled), throttles_(IngressNodes), ends_(Instances)
     { }
 
-    /** @param load Requests as a multiple of what the instances can serve. */
-    Tally run(milliseconds duration, double load)
+    /** @param load Requests as a multiple of the capacity of the instances. */
+    RunCounts run(milliseconds duration, double load)
     {
-        Tally tally;
+        RunCounts counts;
         const double perStep = load * Instances * Slots * Step.count() / Service.count();
         std::poisson_distribution<size_t> arrivals(perStep);
         for (const TimePoint end = now_ + duration; now_ < end; now_ += Step) {
@@ -53,26 +53,26 @@
                 running_.pop();
             }
             for (size_t left = arrivals(random_); left > 0; --left) {
-                sendOne(tally);
+                sendOne(counts);
             }
         }
-        return tally;
+        return counts;
     }
 
 private:
-    void sendOne(Tally &tally)
+    void sendOne(RunCounts &counts)
     {
-        ++tally.arrived;
-        AdaptiveThrottle &throttle = throttles_[random_() % FirstNodes];
+        ++counts.arrived;
+        AdaptiveThrottle &throttle = throttles_[random_() % IngressNodes];
         const double draw = std::uniform_real_distribution<double>(0, 1)(random_);
         if (throttled_ && !throttle.admit(now_, draw)) {
             return;
         }
-        ++tally.passed;
-        for (size_t ask = 0; ask < Asks; ++ask) {
-            ++tally.hops;
+        ++counts.passed;
+        for (size_t ask = 0; ask < MaxTried; ++ask) {
+            ++counts.hops;
             if (takeSlot(random_() % Instances)) {
-                ++tally.served;
+                ++counts.served;
                 running_.push({now_ + Service, &throttle});
                 return;
             }
@@ -94,46 +94,46 @@
     bool throttled_;
     std::mt19937_64 random_{20261};
     std::vector<AdaptiveThrottle> throttles_;
-    std::vector<std::vector<TimePoint>> ends_;                     ///< Of what runs, by instance.
-    std::queue<std::pair<TimePoint, AdaptiveThrottle *>> running_; ///< In the order of their ends.
+    std::vector<std::vector<TimePoint>> ends_; ///< End times of running requests, by instance.
+    std::queue<std::pair<TimePoint, AdaptiveThrottle *>> running_; ///< By end time.
     TimePoint now_ = Start;
 };
 
 } // namespace
 
-// Guards against refusals that cost more hops than what is served: a fleet asked for thrice its
-// room.
-Test(adaptive_throttle, fleet_asked_for_thrice_its_room)
+// Guards against refused requests that cost more hops than served ones: the load is three times the
+// capacity.
+Test(adaptive_throttle, load_of_three_times_the_capacity)
 {
-    FullFleet plain(false);
-    FullFleet throttled(true);
-    (void)plain.run(milliseconds(5000), 3);
+    OverloadedFleet unthrottled(false);
+    OverloadedFleet throttled(true);
+    (void)unthrottled.run(milliseconds(5000), 3);
     (void)throttled.run(milliseconds(5000), 3);
-    const Tally without = plain.run(milliseconds(5000), 3);
-    const Tally with = throttled.run(milliseconds(5000), 3);
-    SECTION("as many are served as without it, within a twentieth")
+    const RunCounts without = unthrottled.run(milliseconds(5000), 3);
+    const RunCounts with = throttled.run(milliseconds(5000), 3);
+    SECTION("at least 95% as many requests are served as without the throttle")
     {
         cr_assert(with.servedShare() >= 0.95 * without.servedShare(), "%.3f of %.3f",
                   with.servedShare(), without.servedShare());
     }
-    SECTION("and far fewer hops are made")
+    SECTION("at most three quarters of the hops are made")
     {
         cr_assert(with.hops * 4 <= without.hops * 3, "%zu of %zu", with.hops, without.hops);
         cr_assert(with.passed <= 2 * with.served, "%zu for %zu", with.passed, with.served);
     }
-    SECTION("room that comes back is used within seconds")
+    SECTION("restored capacity is used within seconds")
     {
         (void)throttled.run(milliseconds(3000), 0.5);
-        const Tally after = throttled.run(milliseconds(2000), 0.5);
+        const RunCounts after = throttled.run(milliseconds(2000), 0.5);
         cr_assert(after.passed * 100 >= after.arrived * 95, "%zu of %zu", after.passed,
                   after.arrived);
     }
 }
 
-// Guards against a node that refuses requests although there is room: most of them are accepted.
-Test(adaptive_throttle, service_with_room)
+// Guards against refusals although there is capacity: most requests are accepted.
+Test(adaptive_throttle, service_with_capacity)
 {
-    SECTION("nothing is refused while four of five find room")
+    SECTION("no request is refused while four of five are accepted")
     {
         AdaptiveThrottle throttle;
         for (int request = 0; request < 500; ++request) {
@@ -142,7 +142,7 @@
             throttle.onEnd(request % 5 != 0, now);
         }
     }
-    SECTION("nor is the first request of a node that has seen few")
+    SECTION("the first requests of a node are not refused")
     {
         AdaptiveThrottle throttle;
         for (int request = 0; request < 7; ++request) {
@@ -150,7 +150,7 @@
             throttle.onEnd(false, Start);
         }
     }
-    SECTION("a service that had no room is asked again after a pause")
+    SECTION("an overloaded service is tried again after a pause")
     {
         AdaptiveThrottle throttle;
         for (int request = 0; request < 100; ++request) {
