--- a/test/unit/request/admission_control_test.cpp
+++ b/test/unit/request/admission_control_test.cpp
@@ -1,5 +1,4 @@
-/** @file admission_control_test.cpp Who runs, waits or is refused at a backend server with few
- * slots. */
+/** @file admission_control_test.cpp Admission to a backend server with few slots. */
 
 #include "decision/request/admission_control.h"
 #include "support/test_section.h"
@@ -24,7 +23,7 @@
     return item;
 }
 
-/** Twelve slots, all busy; requests take 300 ms, cheap ones 60 ms. */
+/** @return Twelve slots, all busy; requests take 300 ms, cheap ones 60 ms. */
 AdmissionControl makeBusy()
 {
     AdmissionControl control{AdmissionLimits{}};
@@ -48,11 +47,11 @@
 Test(admission_control, slots)
 {
     AdmissionControl control{AdmissionLimits{}};
-    SECTION("without a backend server nothing is admitted")
+    SECTION("without a backend server no request is admitted")
     {
         cr_assert(control.offer(makeItem(1), Start).step == Step::Refuse);
     }
-    SECTION("as many run at once as there are slots")
+    SECTION("as many requests run at once as there are slots")
     {
         control.onSlots(2);
         cr_assert(control.offer(makeItem(1), Start).step == Step::Run);
@@ -64,9 +63,10 @@
     }
 }
 
-// Twice as many callers ask as there is room for. If all of them may queue, each waits for longer
-// than it has, and slots run for callers that have left. The queue stays so short that what is let
-// in is served within its objective; the others are told at once, with the time to come back.
+// Guards against a long queue under overload: with twice as many requests as can be served, each
+// would wait beyond its deadline, and slots would run requests of callers that have left. The queue
+// must stay so short that admitted requests meet their objective; all others are refused at once,
+// with the time after which to retry.
 Test(admission_control, overload_refuses_at_once)
 {
     AdmissionControl control = makeBusy();
@@ -78,7 +78,7 @@
     cr_assert(decision.step == Step::Refuse);
     cr_assert(control.waiting() >= 3 && control.waiting() <= 8);
     cr_assert(decision.retryAfter >= milliseconds(100));
-    SECTION("a more urgent one still gets in, and runs first")
+    SECTION("a request of higher priority is still admitted and runs first")
     {
         cr_assert(control.offer(makeItem(2000, 1), Start).step == Step::Wait);
         control.onEnd(Plain, milliseconds(300));
@@ -86,8 +86,9 @@
     }
 }
 
-// A report is at work and needs a calibration record; the scheduler is full of bookings. Refused,
-// the call costs the report and the work done for it, and frees only a fifth of a booking's room.
+// Guards against refusing a cheap nested call: a report that is already running needs a calibration
+// record while the scheduler is full of bookings. The refusal would fail the report, waste the work
+// done for it, and free only a fifth of the capacity of a booking.
 Test(admission_control, cheap_requests_wait_beyond_their_objective)
 {
     AdmissionControl control = makeBusy();
@@ -98,7 +99,7 @@
     cr_assert(control.offer(makeItem(2000, 1, Cheap), Start).step == Step::Wait);
 }
 
-Test(admission_control, late_requests_wait_behind_those_in_time)
+Test(admission_control, late_requests_wait_behind_those_that_can_meet_their_objective)
 {
     AdmissionControl control = makeBusy();
     WorkItem late = makeItem(1000);
--- a/test/unit/request/admission_queue_test.cpp
+++ b/test/unit/request/admission_queue_test.cpp
@@ -1,4 +1,4 @@
-/** @file admission_queue_test.cpp Order, bounds and slots at the gate. */
+/** @file admission_queue_test.cpp Order and limits of the queue; slots of the backend server. */
 
 #include "decision/request/admission_queue.h"
 #include "decision/request/slot_limiter.h"
@@ -29,10 +29,10 @@
     cr_assert(!queue.pop(Start).has_value());
 }
 
-Test(request_queue, patient_work_does_not_starve)
+Test(request_queue, request_with_distant_deadline_does_not_starve)
 {
-    // A caller that can wait has a far deadline. Requests with near deadlines arrive as fast as
-    // slots get free, so by deadline alone the patient one is never next and ends at its bound.
+    // Requests with near deadlines arrive as fast as slots become free. By deadline alone, a
+    // request with a distant deadline would never be next and would end at its queue deadline.
     AdmissionQueue queue{QueueLimits{}};
     queue.push(makeQueued(1, milliseconds(60000), milliseconds(50000)));
     bool served = false;
@@ -47,15 +47,15 @@
 Test(request_queue, bounds)
 {
     QueueLimits limits;
-    limits.entries = 2;
+    limits.maxEntries = 2;
     AdmissionQueue queue(limits);
     cr_assert(queue.push(makeQueued(1, milliseconds(100), milliseconds(10))));
     cr_assert(queue.push(makeQueued(2, milliseconds(100), milliseconds(50))));
-    SECTION("a full queue refuses at once")
+    SECTION("a full queue refuses further requests")
     {
         cr_assert(!queue.push(makeQueued(3, milliseconds(100), milliseconds(50))));
     }
-    SECTION("what is past its patience is not run any more")
+    SECTION("a request beyond its queue deadline is not run")
     {
         cr_assert(queue.pop(Start + milliseconds(10)) == 2U);
         cr_assert(!queue.pop(Start + milliseconds(10)).has_value());
@@ -68,14 +68,14 @@
 {
     SlotLimiter limiter{SlotTimes{}};
     limiter.onBackend(12, Start);
-    SECTION("a cold backend server is given one slot first, and all of them later")
+    SECTION("after a cold start the limit grows from one slot to all")
     {
         cr_assert(limiter.limit(Start) == 1);
         const uint32_t half = limiter.limit(Start + milliseconds(1000));
         cr_assert(half > 1 && half < 12);
         cr_assert(limiter.limit(Start + milliseconds(2000)) == 12);
     }
-    SECTION("a shed pauses handing over, and half the load follows")
+    SECTION("after a shed request nothing is sent for a pause, then half as many run")
     {
         const TimePoint shed = Start + milliseconds(3000);
         limiter.onShed(8, shed);
@@ -83,7 +83,7 @@
         cr_assert(limiter.limit(shed + milliseconds(50)) == 4);
         cr_assert(limiter.limit(shed + milliseconds(1050)) == 12);
     }
-    SECTION("sheds in a row pause longer, up to a bound")
+    SECTION("consecutive shed requests lengthen the back-off up to its limit")
     {
         TimePoint now = Start + milliseconds(3000);
         for (int shed = 0; shed < 20; ++shed) {
--- a/test/unit/request/attempt_policy_test.cpp
+++ b/test/unit/request/attempt_policy_test.cpp
@@ -1,5 +1,4 @@
-/** @file attempt_policy_test.cpp What follows an attempt: every end against every kind of request.
- */
+/** @file attempt_policy_test.cpp Next step after each result of an attempt; fleet-wide budget. */
 
 #include "decision/request/attempt_policy.h"
 #include "decision/request/fleet_retry_budget.h"
@@ -15,48 +14,48 @@
     history.idempotent = idempotent;
     history.maxAttempts = 2;
     history.reached = 1;
-    history.asked = 1;
+    history.tried = 1;
     history.candidates = 3;
     history.timeLeft = milliseconds(1000);
     return history;
 }
 
-AttemptStep decide(const AttemptEnd &end, const AttemptHistory &history)
+AttemptStep decide(const AttemptResult &end, const AttemptHistory &history)
 {
     return decideNextAttempt(end, history, AttemptLimits{});
 }
 
-const AttemptEnd Lost{Outcome::Unknown, 502, true, false, false};
-const AttemptEnd Shed{Outcome::NotRun, 503, true, false, false};
-const AttemptEnd Full{Outcome::NotRun, 503, false, false, false};
-const AttemptEnd Moved{Outcome::NotRun, 421, false, true, false};
-const AttemptEnd Crashed{Outcome::NotRun, 503, false, false, true};
-const AttemptEnd Failed{Outcome::Done, 500, true, false, false};
-const AttemptEnd Served{Outcome::Done, 200, true, false, false};
+const AttemptResult Lost{Outcome::Unknown, 502, true, false, false};
+const AttemptResult Shed{Outcome::NotRun, 503, true, false, false};
+const AttemptResult Full{Outcome::NotRun, 503, false, false, false};
+const AttemptResult Moved{Outcome::NotRun, 421, false, true, false};
+const AttemptResult Crashed{Outcome::NotRun, 503, false, false, true};
+const AttemptResult Failed{Outcome::Done, 500, true, false, false};
+const AttemptResult Served{Outcome::Done, 200, true, false, false};
 
 } // namespace
 
-Test(attempt_policy, what_may_be_sent_again)
+Test(attempt_policy, when_a_request_is_retried)
 {
     cr_assert(decide(Served, makeHistory(true)) == AttemptStep::Finish);
-    SECTION("a booking whose answer was lost may have run: never")
+    SECTION("a booking whose response was lost may have run: no retry")
     {
         cr_assert(decide(Lost, makeHistory(false)) == AttemptStep::Finish);
         cr_assert(decide(Failed, makeHistory(false)) == AttemptStep::Finish);
     }
-    SECTION("a booking that the instance refused has not run")
+    SECTION("a booking that the instance refused has not run: retry")
     {
-        cr_assert(decide(Shed, makeHistory(false)) == AttemptStep::RepeatAnother);
+        cr_assert(decide(Shed, makeHistory(false)) == AttemptStep::RetryAnother);
     }
-    SECTION("a read, within the route's number of instances")
+    SECTION("a read: retry, up to the route's limit of attempts")
     {
         AttemptHistory history = makeHistory(true);
-        cr_assert(decide(Lost, history) == AttemptStep::RepeatAnother);
-        cr_assert(decide(Failed, history) == AttemptStep::RepeatAnother);
+        cr_assert(decide(Lost, history) == AttemptStep::RetryAnother);
+        cr_assert(decide(Failed, history) == AttemptStep::RetryAnother);
         history.reached = 2;
         cr_assert(decide(Lost, history) == AttemptStep::Finish);
     }
-    SECTION("nothing without time for it")
+    SECTION("too little time left: no retry")
     {
         AttemptHistory history = makeHistory(true);
         history.timeLeft = milliseconds(20);
@@ -64,52 +63,52 @@
     }
 }
 
-Test(attempt_policy, where_else_to_ask)
+Test(attempt_policy, when_another_node_is_tried)
 {
     AttemptHistory history = makeHistory(false);
     history.reached = 0;
-    cr_assert(decide(Full, history) == AttemptStep::AskAnother);
-    history.asked = 3;
+    cr_assert(decide(Full, history) == AttemptStep::TryAnother);
+    history.tried = 3;
     cr_assert(decide(Full, history) == AttemptStep::Finish);
-    SECTION("only its holder can serve a key: a full one is not asked again")
+    SECTION("the owner of a key is not tried again when it is full, since no other can serve it")
     {
         history.sharded = true;
-        history.asked = 1;
+        history.tried = 1;
         cr_assert(decide(Full, history) == AttemptStep::Finish);
     }
-    SECTION("a key on its way is waited for, for a while")
+    SECTION("during the hand-over of a key the new owner is awaited, up to a limit")
     {
         history.sharded = true;
         cr_assert(decide(Moved, history) == AttemptStep::AwaitOwner);
-        history.awaitedOwner = milliseconds(700);
+        history.ownerWaitSpent = milliseconds(700);
         cr_assert(decide(Moved, history) == AttemptStep::Finish);
     }
-    SECTION("for less if that is of no use any more, but long enough for a crash to be noticed")
+    SECTION("the wait is limited by the latency objective, but long enough to detect a crash")
     {
         history.sharded = true;
         history.objective = milliseconds(1500);
-        history.awaitedOwner = milliseconds(449);
+        history.ownerWaitSpent = milliseconds(449);
         cr_assert(decide(Moved, history) == AttemptStep::AwaitOwner);
-        history.awaitedOwner = milliseconds(450);
+        history.ownerWaitSpent = milliseconds(450);
         cr_assert(decide(Moved, history) == AttemptStep::Finish);
         history.objective = milliseconds(200);
         cr_assert(decide(Moved, history) == AttemptStep::Finish);
-        history.awaitedOwner = milliseconds(249);
+        history.ownerWaitSpent = milliseconds(249);
         cr_assert(decide(Moved, history) == AttemptStep::AwaitOwner);
         history.objective = Duration(0);
     }
-    SECTION("a crashed holder's for less: without the store it stays with it")
+    SECTION("the wait for a crashed owner is shorter: without the store it stays the owner")
     {
         history.sharded = true;
-        history.awaitedOwner = milliseconds(0);
+        history.ownerWaitSpent = milliseconds(0);
         cr_assert(decide(Crashed, history) == AttemptStep::AwaitOwner);
-        history.awaitedOwner = milliseconds(250);
+        history.ownerWaitSpent = milliseconds(250);
         cr_assert(decide(Crashed, history) == AttemptStep::Finish);
     }
 }
 
-// Eleven nodes see the same instance fail and each sends its requests once more. Without talk
-// between them their sum has to stay below the fleet's budget in every window.
+// Eleven nodes observe failures of the same instance, and each retries its requests. Without
+// communication between them, the sum must stay within the fleet-wide budget in every window.
 Test(repeat_budget, the_sum_over_all_nodes_stays_within_the_budget)
 {
     constexpr size_t Nodes = 11;
--- a/test/unit/request/circuit_breaker_test.cpp
+++ b/test/unit/request/circuit_breaker_test.cpp
@@ -1,4 +1,4 @@
-/** @file circuit_breaker_test.cpp A backend server that refuses requests although it has room. */
+/** @file circuit_breaker_test.cpp A backend server that refuses requests although it has slots. */
 
 #include "decision/request/circuit_breaker.h"
 #include "support/test_section.h"
@@ -13,7 +13,7 @@
 CircuitBreaker makeOpen(TimePoint now)
 {
     CircuitBreaker breaker;
-    for (uint32_t refusal = 0; refusal < Limits.refusalsInRow; ++refusal) {
+    for (uint32_t refusal = 0; refusal < Limits.consecutiveRefusals; ++refusal) {
         breaker.onRefused(now);
     }
     return breaker;
@@ -21,22 +21,22 @@
 
 } // namespace
 
-// Guards against a server that refuses all it gets and draws ever more, since it looks idle.
+// Guards against a server that refuses all requests and attracts more, since it appears idle.
 Test(circuit_breaker, server_that_refuses_everything)
 {
     CircuitBreaker breaker = makeOpen(Start);
-    SECTION("is sent nothing for a while")
+    SECTION("it is sent no requests during the pause")
     {
         cr_assert(!breaker.allow(Start));
         cr_assert(breaker.isOpen(Start + Limits.firstPause / 2));
     }
-    SECTION("then one trial, and no more until that has ended")
+    SECTION("after the pause one trial is sent, and no more until it has ended")
     {
         const TimePoint trial = Start + Limits.firstPause;
         cr_assert(breaker.allow(trial));
         cr_assert(!breaker.allow(trial));
     }
-    SECTION("less and less often while trials are refused")
+    SECTION("the pause grows while trials are refused")
     {
         TimePoint now = Start;
         for (int trial = 0; trial < 8; ++trial) {
@@ -47,21 +47,21 @@
         cr_assert(!breaker.allow(now + Limits.longestPause - milliseconds(1)));
         cr_assert(breaker.allow(now + Limits.longestPause));
     }
-    SECTION("and as before once it has run one")
+    SECTION("after a request has run, all are sent again")
     {
-        breaker.onRun();
+        breaker.onExecuted();
         cr_assert(breaker.allow(Start) && breaker.allow(Start));
     }
 }
 
-// Guards against a server that is left out although it serves most requests.
+// Guards against excluding a server that refuses only some requests.
 Test(circuit_breaker, server_that_refuses_some)
 {
     CircuitBreaker breaker;
     for (int request = 0; request < 100; ++request) {
         cr_assert(breaker.allow(Start));
         if (request % 3 == 0) {
-            breaker.onRun();
+            breaker.onExecuted();
         } else {
             breaker.onRefused(Start);
         }
--- a/test/unit/request/deduplication_table_test.cpp
+++ b/test/unit/request/deduplication_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file deduplication_table_test.cpp A key that must not be repeated runs at most once. */
+/** @file deduplication_table_test.cpp A request with an idempotency key runs at most once. */
 
 #include "decision/request/deduplication_table.h"
 #include "support/test_section.h"
@@ -29,23 +29,23 @@
     DeduplicationTable table{DeduplicationLimits{}};
     const KeyedAttempt first = makeAttempt("k", milliseconds(0));
     cr_assert(table.begin(first, Start).step == DeduplicationStep::Run);
-    SECTION("a repeat meets the first in progress")
+    SECTION("a retry while the first attempt is running")
     {
         cr_assert(table.begin(first, Start).step == DeduplicationStep::InProgress);
     }
-    SECTION("after the run it gets the stored answer")
+    SECTION("a retry after the run gets the stored response")
     {
         table.finish("booking", "k", "answer", Start);
         const auto decision = table.begin(makeAttempt("k", milliseconds(900)), Start);
-        cr_assert(decision.step == DeduplicationStep::Replay && decision.answer == "answer");
+        cr_assert(decision.step == DeduplicationStep::Replay && decision.response == "answer");
     }
-    SECTION("another request with the same key is refused")
+    SECTION("a different request with the same key is refused")
     {
         KeyedAttempt other = first;
         other.fingerprint = "g";
         cr_assert(table.begin(other, Start).step == DeduplicationStep::Reused);
     }
-    SECTION("a run without a known end stays unknown")
+    SECTION("a run whose end is not known stays unknown")
     {
         cr_assert(table.begin(makeAttempt("u", milliseconds(0)), Start).step
                   == DeduplicationStep::Run);
@@ -53,7 +53,7 @@
         cr_assert(table.begin(makeAttempt("u", milliseconds(5)), Start).step
                   == DeduplicationStep::OutcomeUnknown);
     }
-    SECTION("a key that provably did not run may be used again")
+    SECTION("the key of a request that provably did not run may be used again")
     {
         cr_assert(table.begin(makeAttempt("n", milliseconds(0)), Start).step
                   == DeduplicationStep::Run);
@@ -65,36 +65,36 @@
 
 Test(request_deduplication, across_a_change_of_owner)
 {
-    // The caller confirms a booking; the owner runs it and dies before it answers. Its table is
-    // gone with it. The caller repeats the key at the new owner, which has never seen it: without
-    // the epoch rule it would run the booking a second time.
+    // The owner runs a booking and crashes before it answers; its table is lost. The caller retries
+    // with the same key at the new owner, which does not know it. Without the epoch rule the
+    // booking would run a second time.
     DeduplicationTable newOwner{DeduplicationLimits{}};
-    const TimePoint repeatAt = Start + milliseconds(300);
-    SECTION("a repeat older than the ownership is refused as unknown")
+    const TimePoint retryAt = Start + milliseconds(300);
+    SECTION("a retry whose key is older than the ownership is refused as unknown")
     {
-        const auto decision = newOwner.begin(makeAttempt("k", milliseconds(1500)), repeatAt);
+        const auto decision = newOwner.begin(makeAttempt("k", milliseconds(1500)), retryAt);
         cr_assert(decision.step == DeduplicationStep::OlderThanEpoch);
     }
-    SECTION("a repeat whose way here may hide its age is refused too")
+    SECTION("a retry whose transit time may hide the age of its key is refused too")
     {
-        // Sent 200 ms after the first sending, but 400 ms on the way: the first lies before Start.
-        const auto decision = newOwner.begin(makeAttempt("k", milliseconds(200)), repeatAt);
+        // Sent 200 ms after the first attempt, with 400 ms of transit: the first was before Start.
+        const auto decision = newOwner.begin(makeAttempt("k", milliseconds(200)), retryAt);
         cr_assert(decision.step == DeduplicationStep::OlderThanEpoch);
     }
-    SECTION("a key without an age is refused while the ownership is young")
+    SECTION("a key without an age is refused until the ownership is older than the time to live")
     {
-        cr_assert(newOwner.begin(makeAttempt("k", std::nullopt), repeatAt).step
+        cr_assert(newOwner.begin(makeAttempt("k", std::nullopt), retryAt).step
                   == DeduplicationStep::OlderThanEpoch);
         const TimePoint later = Start + DeduplicationLimits{}.timeToLive;
         cr_assert(newOwner.begin(makeAttempt("k", std::nullopt), later).step
                   == DeduplicationStep::Run);
     }
-    SECTION("a first sending runs at once")
+    SECTION("a first attempt runs at once")
     {
-        cr_assert(newOwner.begin(makeAttempt("new", milliseconds(0)), repeatAt).step
+        cr_assert(newOwner.begin(makeAttempt("new", milliseconds(0)), retryAt).step
                   == DeduplicationStep::Run);
     }
-    SECTION("a repeat that began under this ownership runs")
+    SECTION("a retry whose first attempt was made under this ownership runs")
     {
         const TimePoint later = Start + milliseconds(7000);
         cr_assert(newOwner.begin(makeAttempt("late", milliseconds(1500)), later).step
@@ -110,18 +110,18 @@
     DeduplicationTable table(limits);
     cr_assert(table.begin(makeAttempt("a", milliseconds(0)), Start).step == DeduplicationStep::Run);
     cr_assert(table.begin(makeAttempt("b", milliseconds(0)), Start).step == DeduplicationStep::Run);
-    SECTION("a full table refuses a new key rather than forget an old one")
+    SECTION("a full table refuses new keys and keeps the old ones")
     {
         cr_assert(table.begin(makeAttempt("c", milliseconds(0)), Start).step
                   == DeduplicationStep::TableFull);
     }
-    SECTION("an answer over the bytes' bound leaves its key as unknown")
+    SECTION("a response that exceeds the byte limit is dropped, and its key stays as unknown")
     {
         table.finish("booking", "a", std::string(600, 'x'), Start);
         cr_assert(table.begin(makeAttempt("a", milliseconds(1)), Start).step
                   == DeduplicationStep::OutcomeUnknown);
     }
-    SECTION("time to live frees entries and bytes")
+    SECTION("expiry frees entries and bytes")
     {
         table.finish("booking", "b", "y", Start);
         const TimePoint later = Start + limits.timeToLive;
@@ -148,7 +148,7 @@
         }
         cr_assert(!parseIdempotencyHeader(std::string(256, 'k')).has_value());
     }
-    SECTION("any bytes are either refused or give a key that is part of them")
+    SECTION("any input is either refused or gives a key that is a part of it")
     {
         setenv("RC_PARAMS", "seed=17 max_success=300", 1);
         const bool held = rc::check("header", [](const std::string &text) {
--- a/test/unit/request/gate_fault_test.cpp
+++ b/test/unit/request/gate_fault_test.cpp
@@ -1,4 +1,4 @@
-/** @file gate_fault_test.cpp Each fault at each step between the gate and the backend server. */
+/** @file gate_fault_test.cpp Faults at each step between the gate and the backend server. */
 
 #include "adapter/clock/boot_clock_adapter.h"
 #include "duty/gate_duty.h"
@@ -54,7 +54,7 @@
         return request;
     }
 
-    static v1::HopRequest makeKeyed(const std::string &key)
+    static v1::HopRequest makeIdempotencyKeyed(const std::string &key)
     {
         v1::HopRequest request = makeRequest();
         request.set_must_not_repeat(true);
@@ -75,7 +75,7 @@
     GateDuty gate;
 };
 
-/** @return The outcome of one request against @p script. */
+/** @return The reply to one request against @p script. */
 v1::HopReply askOnce(BackendScript script)
 {
     GateFixture fixture({std::move(script)});
@@ -88,7 +88,7 @@
 
 Test(request_gate, fault_at_each_step)
 {
-    SECTION("before send: nobody listens; provably not run")
+    SECTION("before sending: connection refused; provably not run")
     {
         GateFixture fixture(std::vector<BackendScript>(1));
         GateGrant grant = fixture.makeGrant(Self, Epoch(1), milliseconds(60000), GrantMode::Fenced);
@@ -100,40 +100,40 @@
         const v1::HopReply reply = fixture.ask(GateFixture::makeRequest());
         cr_assert(reply.outcome() == v1::HOP_OUTCOME_NOT_RUN && reply.retry_after_ms() > 0);
     }
-    SECTION("sent, closed unread: it may have been read")
+    SECTION("sent, closed without reading: the request may have been read")
     {
         BackendScript script;
         script.closeUnread = true;
         cr_assert(askOnce(script).outcome() == v1::HOP_OUTCOME_UNKNOWN);
     }
-    SECTION("handed over, closed without an answer")
+    SECTION("sent, closed without a response")
     {
         BackendScript script;
         script.close = true;
         cr_assert(askOnce(script).outcome() == v1::HOP_OUTCOME_UNKNOWN);
     }
-    SECTION("handed over, silent: unknown at the deadline")
+    SECTION("sent, no response: unknown at the deadline")
     {
         BackendScript script;
         script.silent = true;
         const v1::HopReply reply = askOnce(script);
         cr_assert(reply.outcome() == v1::HOP_OUTCOME_UNKNOWN && reply.reason() == "deadline-over");
     }
-    SECTION("half answered")
+    SECTION("response partly sent")
     {
         BackendScript script;
         script.answer = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf";
         script.close = true;
         cr_assert(askOnce(script).outcome() == v1::HOP_OUTCOME_UNKNOWN);
     }
-    SECTION("half a refusal is no proof that it was not run")
+    SECTION("a partly read refusal does not prove that the request has not run")
     {
         BackendScript script;
         script.answer = "HTTP/1.1 503 x\r\nNot-Run: 1\r\nContent-Length: 10\r\n\r\nhalf";
         script.close = true;
         cr_assert(askOnce(script).outcome() == v1::HOP_OUTCOME_UNKNOWN);
     }
-    SECTION("an answer without a length cannot be known to be whole")
+    SECTION("a response without a length cannot be known to be complete")
     {
         BackendScript script;
         script.answer = "HTTP/1.1 200 OK\r\n\r\nperhaps cut off";
@@ -141,14 +141,14 @@
         const v1::HopReply reply = askOnce(script);
         cr_assert(reply.outcome() == v1::HOP_OUTCOME_UNKNOWN && reply.reason() == "bad-answer");
     }
-    SECTION("answered with a refusal: not run")
+    SECTION("refused in a complete response: not run")
     {
         BackendScript script;
         script.answer = Shed;
         const v1::HopReply reply = askOnce(script);
         cr_assert(reply.outcome() == v1::HOP_OUTCOME_NOT_RUN && reply.reason() == "shed");
     }
-    SECTION("answered")
+    SECTION("complete response")
     {
         BackendScript script;
         script.answer = makeAnswer("whole");
@@ -157,10 +157,11 @@
     }
 }
 
-Test(request_gate, late_answer_reaches_no_other_request)
+Test(request_gate, late_response_reaches_no_other_request)
 {
-    // The first request passes its deadline; its answer comes a little later, while the second
-    // request waits. Had the connection gone back to the pool, the second caller would get it.
+    // The first request exceeds its deadline, and its response arrives while the second request
+    // waits. If the connection were returned to the pool, the second caller would get that
+    // response.
     BackendScript late;
     late.answer = makeAnswer("first");
     late.delay = milliseconds(250);
@@ -177,8 +178,8 @@
 
 Test(request_gate, surplus_bytes_end_the_connection)
 {
-    // The backend server sends more than the length it states. On a kept connection the surplus
-    // would be read as the answer of whoever comes next.
+    // The backend server sends more bytes than the stated length. On a reused connection the
+    // surplus would be read as the response to the next request.
     BackendScript surplus;
     surplus.answer = makeAnswer("one") + makeAnswer("stray");
     BackendScript plain;
@@ -188,7 +189,7 @@
     cr_assert(fixture.ask(GateFixture::makeRequest()).body() == "two");
 }
 
-Test(request_gate, admission_is_checked_at_the_last_point)
+Test(request_gate, admission_is_checked_again_before_sending)
 {
     BackendScript script;
     script.answer = makeAnswer("x");
@@ -196,21 +197,22 @@
     GateFixture fixture({script});
     v1::HopRequest request = GateFixture::makeRequest();
     request.set_deadline_left_ms(5000);
-    SECTION("a lapsed lease")
+    SECTION("the lease has expired")
     {
         fixture.grant(Self, Epoch(1), milliseconds(0), GrantMode::Fenced);
         cr_assert(fixture.ask(request).reason() == "no-lease");
     }
-    SECTION("another owner")
+    SECTION("another node is the owner")
     {
         fixture.grant(Other, Epoch(2), milliseconds(60000), GrantMode::Fenced);
         const v1::HopReply reply = fixture.ask(request);
         cr_assert(reply.status() == 421 && reply.outcome() == v1::HOP_OUTCOME_NOT_RUN);
     }
-    SECTION("another owner since it began to queue")
+    SECTION("another node became the owner while the request was queued")
     {
-        // With a cold backend server there is one slot; the second request waits for it. Meanwhile
-        // the range moves. Checked on arrival only, it would run here beside the new owner's.
+        // A cold backend server has one slot, and the second request waits for it while the range
+        // moves. Checked only on arrival, it would run at the same time as the new owner's
+        // requests.
         GateFixture cold({script});
         std::optional<v1::HopReply> queued;
         asio::co_spawn(cold.context, cold.gate.onRequest(request), asio::detached);
@@ -228,8 +230,8 @@
 
 Test(request_gate, grant_is_confirmed_after_the_lost_range_drained)
 {
-    // The coordinator gives the range to another node as soon as this one confirms. A request of
-    // it still runs here; a confirmation now would let both nodes run the key at once.
+    // The coordinator assigns the range to another node once this one confirms the grant. If it
+    // confirmed while a request of the range is running, two nodes would run the key at once.
     BackendScript script;
     script.answer = makeAnswer("x");
     script.delay = milliseconds(100);
@@ -263,52 +265,53 @@
 
 Test(request_gate, must_not_repeat)
 {
-    SECTION("a repeat gets the stored answer; the backend server ran once")
+    SECTION("a retry gets the stored response; the backend server ran the request once")
     {
         BackendScript script;
         script.answer = makeAnswer("booked");
         GateFixture fixture({script});
-        cr_assert(fixture.ask(GateFixture::makeKeyed("k")).body() == "booked");
-        const v1::HopReply again = fixture.ask(GateFixture::makeKeyed("k"));
+        cr_assert(fixture.ask(GateFixture::makeIdempotencyKeyed("k")).body() == "booked");
+        const v1::HopReply again = fixture.ask(GateFixture::makeIdempotencyKeyed("k"));
         cr_assert(again.body() == "booked" && again.replayed());
         cr_assert(fixture.backend->requests().size() == 1);
     }
-    SECTION("a lost answer stays unknown, and is not run again")
+    SECTION("a request whose response was lost stays unknown and is not run again")
     {
         BackendScript script;
         script.close = true;
         GateFixture fixture({script});
-        cr_assert(fixture.ask(GateFixture::makeKeyed("k")).outcome() == v1::HOP_OUTCOME_UNKNOWN);
-        const v1::HopReply again = fixture.ask(GateFixture::makeKeyed("k"));
+        cr_assert(fixture.ask(GateFixture::makeIdempotencyKeyed("k")).outcome()
+                  == v1::HOP_OUTCOME_UNKNOWN);
+        const v1::HopReply again = fixture.ask(GateFixture::makeIdempotencyKeyed("k"));
         cr_assert(again.reason() == "idempotency-key-outcome-lost");
         cr_assert(fixture.backend->requests().size() == 1);
     }
-    SECTION("a shed one may be sent again")
+    SECTION("a shed request may be sent again")
     {
         BackendScript shed;
         shed.answer = Shed;
         BackendScript good;
         good.answer = makeAnswer("booked");
         GateFixture fixture({shed, good});
-        v1::HopRequest request = GateFixture::makeKeyed("k");
+        v1::HopRequest request = GateFixture::makeIdempotencyKeyed("k");
         request.set_deadline_left_ms(5000);
         cr_assert(fixture.ask(request).outcome() == v1::HOP_OUTCOME_NOT_RUN);
         cr_assert(fixture.ask(request).body() == "booked");
     }
-    SECTION("a repeat at a new owner is refused as unknown")
+    SECTION("a retry at a new owner is refused as unknown")
     {
         BackendScript script;
         script.answer = makeAnswer("booked");
         GateFixture fixture({script});
-        v1::HopRequest repeat = GateFixture::makeKeyed("k");
-        repeat.set_idempotency_age_ms(1500);
-        const v1::HopReply reply = fixture.ask(repeat);
+        v1::HopRequest retry = GateFixture::makeIdempotencyKeyed("k");
+        retry.set_idempotency_age_ms(1500);
+        const v1::HopReply reply = fixture.ask(retry);
         cr_assert(reply.outcome() == v1::HOP_OUTCOME_UNKNOWN && reply.status() == 409);
         cr_assert(fixture.backend->requests().empty());
     }
 }
 
-Test(request_gate, caller_goes_away)
+Test(request_gate, caller_disconnects)
 {
     BackendScript script;
     script.silent = true;
@@ -319,7 +322,7 @@
     cancel.set_request_id(1);
     std::optional<v1::HopReply> reply;
     const auto store = [&reply](std::exception_ptr, v1::HopReply value) { reply = value; };
-    SECTION("its run is cut, and its connection closed")
+    SECTION("its request is cancelled and the connection closed")
     {
         v1::HopRequest request = GateFixture::makeRequest();
         request.set_deadline_left_ms(60000);
--- a/test/unit/request/ingress_test.cpp
+++ b/test/unit/request/ingress_test.cpp
@@ -1,4 +1,4 @@
-/** @file ingress_test.cpp A caller's request from the ingress to the backend server and back. */
+/** @file ingress_test.cpp A caller's request, from the ingress to the backend server and back. */
 
 #include "core/hash_func.h"
 #include "standin/node_duties.h"
@@ -103,7 +103,7 @@
     co_return response;
 }
 
-/** Counts in @p right an answer that is whole and the caller's own, or a refusal. */
+/** Increments @p right for each refusal and each complete response to the caller's own request. */
 asio::awaitable<void> askForOwnBytes(TwoNodes &nodes, std::string target, size_t &right)
 {
     HttpClient client(nodes.context.get_executor(), "127.0.0.1", nodes.first.ingress.port());
@@ -123,7 +123,7 @@
 
 } // namespace
 
-Test(request_ingress, forwarded_answer_with_a_hint)
+Test(request_ingress, forwarded_response_with_a_hint)
 {
     TwoNodes nodes({makeScript(makeAnswer("kari's profile"))});
     const HttpResponse response = nodes.ask(makeGet());
@@ -136,25 +136,25 @@
 
 Test(request_ingress, retries)
 {
-    SECTION("an idempotent request whose answer was lost is run again")
+    SECTION("an idempotent request whose response was lost is retried")
     {
         TwoNodes nodes({Lost, makeScript(makeAnswer("again"))});
         cr_assert(nodes.ask(makeGet()).body() == "again");
         cr_assert(nodes.backend->requests().size() == 2);
     }
-    SECTION("one that must not be repeated is not, and its outcome is unknown")
+    SECTION("a request that must not be repeated is not retried; its outcome is unknown")
     {
         TwoNodes nodes({Lost, makeScript(makeAnswer("again"))});
         const HttpResponse response = nodes.ask(makePost("\"k\";age=0"));
         cr_assert(response["Wisteriahoist-Outcome"] == "unknown");
         cr_assert(nodes.backend->requests().size() == 1);
     }
-    SECTION("a shed one is, since it provably did not run")
+    SECTION("a shed request is retried, since it provably did not run")
     {
         TwoNodes nodes({makeScript(Shed), makeScript(makeAnswer("booked"))});
         cr_assert(nodes.ask(makePost("\"k\";age=0")).body() == "booked");
     }
-    SECTION("the tries of one request are bounded, whatever the number of hops")
+    SECTION("the attempts of one request are limited, independent of the number of hops")
     {
         TwoNodes nodes({Lost});
         cr_assert(nodes.ask(makeGet())["Wisteriahoist-Outcome"] == "unknown");
@@ -164,8 +164,8 @@
 
 Test(request_ingress, a_later_refusal_does_not_hide_an_earlier_run)
 {
-    // The first try's answer is lost: it may have run. The second try is shed. Told "not run", the
-    // caller would take it for certain that nothing happened.
+    // The response to the first attempt is lost, so it may have run. The second attempt is shed. If
+    // the caller got "not run", it would conclude that nothing happened.
     TwoNodes nodes({Lost, makeScript(Shed)});
     const HttpResponse response = nodes.ask(makeGet());
     cr_assert(response["Wisteriahoist-Outcome"] == "unknown");
@@ -174,17 +174,17 @@
 Test(request_ingress, idempotency_key)
 {
     TwoNodes nodes({makeScript(makeAnswer("booked"))});
-    SECTION("without one: 400, not run")
+    SECTION("without a key: 400, not run")
     {
         const HttpResponse response = nodes.ask(makePost(""));
         cr_assert(response.result_int() == 400);
         cr_assert(response["Wisteriahoist-Outcome"] == "not-run");
     }
-    SECTION("malformed: 400, not run")
+    SECTION("malformed key: 400, not run")
     {
         cr_assert(nodes.ask(makePost("\"k")).result_int() == 400);
     }
-    SECTION("twice: run once, the same answer")
+    SECTION("same key twice: run once, the same response")
     {
         cr_assert(nodes.ask(makePost("\"k\";age=0")).body() == "booked");
         const HttpResponse again = nodes.ask(makePost("\"k\";age=40"));
@@ -193,7 +193,7 @@
     }
 }
 
-Test(request_ingress, shorter_deadline_by_the_caller)
+Test(request_ingress, caller_sets_a_shorter_deadline)
 {
     BackendScript silent;
     silent.silent = true;
@@ -206,7 +206,7 @@
     cr_assert(std::stoi(head.substr(head.find("Deadline-Ms: ") + 13)) <= 60);
 }
 
-Test(request_ingress, redirect_is_a_declared_choice)
+Test(request_ingress, redirect_if_declared)
 {
     TwoNodes nodes({makeScript(makeAnswer("x"))}, Misrouted::Redirect);
     const HttpResponse response = nodes.ask(makeGet());
@@ -215,10 +215,10 @@
               == "http://127.0.0.1:" + std::to_string(nodes.second.ingress.port()) + "/kari");
 }
 
-Test(request_ingress, caller_that_goes_away_frees_the_backend)
+Test(request_ingress, caller_that_disconnects_frees_the_backend)
 {
-    // The caller closes its connection at one node; the request runs beside another. Without the
-    // cancel over the hop it holds a slot there until its deadline.
+    // The caller closes its connection to one node while the request runs beside another. Without
+    // the cancellation over the hop, the request would occupy a slot there until its deadline.
     BackendScript silent;
     silent.silent = true;
     TwoNodes nodes({silent});
@@ -237,10 +237,10 @@
     cr_assert(nodes.backend->requests().size() == 1);
 }
 
-Test(request_ingress, each_caller_gets_its_own_bytes)
+Test(request_ingress, each_caller_gets_its_own_response)
 {
-    // Many callers share the two nodes' one connection; the answers come in any order. Each must
-    // get the answer to its own request, whole.
+    // Many callers share the one connection between the two nodes, and the responses arrive in any
+    // order. Each caller must get the complete response to its own request.
     TwoNodes nodes({makeScript(makeAnswer("unused"))});
     size_t right = 0;
     size_t ended = 0;
--- a/test/unit/request/instance_choice_test.cpp
+++ b/test/unit/request/instance_choice_test.cpp
@@ -1,4 +1,4 @@
-/** @file instance_choice_test.cpp Instances for requests without a key; requests still running. */
+/** @file instance_choice_test.cpp Choice of instances for keyless requests; in-flight requests. */
 
 #include "decision/request/inflight_registry.h"
 #include "decision/request/keyless_balancer.h"
@@ -32,27 +32,27 @@
 
 } // namespace
 
-Test(request_outlier, own_observations_decide)
+Test(request_outlier, only_own_observations_eject)
 {
     OutlierDetector detector{OutlierLimits{}};
-    SECTION("a report alone ejects nobody")
+    SECTION("a health report alone ejects no instance")
     {
         detector.onReport(NodeId(1), false);
         cr_assert(detector.usable(Three, Start).size() == 3);
     }
-    SECTION("own failures eject, for a bounded time")
+    SECTION("own failures eject for a limited time")
     {
         fail(detector, NodeId(1), 5);
         cr_assert(detector.usable(Three, Start).size() == 2);
         cr_assert(detector.usable(Three, Start + milliseconds(1000)).size() == 3);
     }
-    SECTION("fewer are enough when the report agrees")
+    SECTION("fewer failures are sufficient if the instance reports itself unhealthy")
     {
         detector.onReport(NodeId(2), false);
         fail(detector, NodeId(2), 2);
         cr_assert(detector.usable(Three, Start).size() == 2);
     }
-    SECTION("a common cause never ejects most of the instances")
+    SECTION("failures of all instances eject at most a share of them")
     {
         for (const NodeId instance : Three) {
             fail(detector, instance, 5);
@@ -76,12 +76,12 @@
         return *chooseInstance({near, far}, "a", limits, 0.0, 0.0, Start);
     };
     cr_assert(choose() == near.id);
-    SECTION("the own domain is left when it is hotter")
+    SECTION("another failure domain is chosen if the own one has more load")
     {
         near.outstanding = 6;
         cr_assert(choose() == far.id);
     }
-    SECTION("a stale report of no load does not draw requests")
+    SECTION("a stale report of no load does not attract requests")
     {
         far.reportedAt = Start - milliseconds(5000);
         far.reportedRunning = 0;
@@ -89,7 +89,7 @@
         near.outstanding = 4;
         cr_assert(choose() == near.id);
     }
-    SECTION("a report that lags is corrected by what was sent since")
+    SECTION("a report is corrected by the requests sent since")
     {
         InstanceLoad sent = near;
         sent.reportedAt = Start;
@@ -103,41 +103,43 @@
 
 Test(request_inflight, lost_ranges_drain)
 {
-    // A range moves while a request of it runs. If the old owner confirmed at once, the new owner
-    // would run the key's next request beside it, and the backend servers' state would differ.
+    // A range moves while one of its requests is running. If the old owner confirmed at once, the
+    // new owner would run the key's next request at the same time, and the states of the two
+    // backend servers would diverge.
     InflightRegistry registry;
     const TimePoint deadline = Start + milliseconds(100);
     const uint64_t id = registry.begin({"s", KeyHash(5), Epoch(3), deadline});
     const RoutingSnapshot kept = makeRouting(NodeId(1), Epoch(3));
     const RoutingSnapshot moved = makeRouting(NodeId(2), Epoch(4));
     const RoutingSnapshot back = makeRouting(NodeId(1), Epoch(5));
-    cr_assert(registry.lostUntil(&kept, NodeId(1), Start) == NeverTime);
-    cr_assert(registry.lostUntil(&moved, NodeId(1), Start) == deadline);
-    cr_assert(registry.lostUntil(&back, NodeId(1), Start) == deadline);
-    cr_assert(registry.lostUntil(nullptr, NodeId(1), Start) == deadline);
-    SECTION("a run whose end was not seen is waited for until its deadline")
+    cr_assert(registry.lastLostDeadline(&kept, NodeId(1), Start) == NeverTime);
+    cr_assert(registry.lastLostDeadline(&moved, NodeId(1), Start) == deadline);
+    cr_assert(registry.lastLostDeadline(&back, NodeId(1), Start) == deadline);
+    cr_assert(registry.lastLostDeadline(nullptr, NodeId(1), Start) == deadline);
+    SECTION("a request whose end was not observed is waited for until its deadline")
     {
         registry.end(id, false, Start);
-        cr_assert(registry.lostUntil(&moved, NodeId(1), Start) == deadline);
-        cr_assert(registry.lostUntil(&moved, NodeId(1), deadline) == NeverTime);
+        cr_assert(registry.lastLostDeadline(&moved, NodeId(1), Start) == deadline);
+        cr_assert(registry.lastLostDeadline(&moved, NodeId(1), deadline) == NeverTime);
     }
-    SECTION("a whole answer ends it")
+    SECTION("a complete response ends the wait")
     {
         const uint64_t other = registry.begin({"s", KeyHash(5), Epoch(3), deadline});
         registry.end(other, true, Start);
         registry.end(id, true, Start);
-        cr_assert(registry.lostUntil(&moved, NodeId(1), Start) == NeverTime);
+        cr_assert(registry.lastLostDeadline(&moved, NodeId(1), Start) == NeverTime);
     }
 }
 
-// Bytes between failure domains are paid for and add delay. The load is even: 1,000 requests a
-// second run 0.1 s each on 24 instances of 12 slots in four domains, with exact reports. Drawn from
-// everywhere, more than half of them leave their domain though nobody there is busier.
-Test(request_balancer, requests_stay_in_their_domain_while_it_has_room)
+// Traffic between failure domains is charged for and adds latency. The load is balanced: 1,000
+// requests per second run for 0.1 s each on 24 instances of 12 slots in four domains, with exact
+// reports. With both choices drawn from all instances, more than half of the requests would leave
+// their domain although no instance there has more load.
+Test(request_balancer, requests_stay_in_their_domain_while_it_has_capacity)
 {
     constexpr size_t Instances = 24;
     constexpr size_t Domains = 4;
-    constexpr size_t Running = 100; // At once: 1,000 a second for 0.1 s.
+    constexpr size_t Running = 100; // At the same time: 1,000 per second for 0.1 s.
     constexpr size_t Requests = 20000;
     const std::array<std::string, Domains> names{"a", "b", "c", "d"};
     std::vector<InstanceLoad> instances(Instances);
@@ -171,7 +173,7 @@
     }
     cr_assert_gt(static_cast<double>(stayed) / Requests, 0.7);
     cr_assert_leq(most, 10.0);
-    SECTION("if all come from one domain, the others carry their part")
+    SECTION("if all requests come from one domain, the others take their share")
     {
         most = 0;
         for (size_t request = 0; request < Requests; ++request) {
--- a/test/unit/request/outcome_table_test.cpp
+++ b/test/unit/request/outcome_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file outcome_table_test.cpp What a caller may be told, for each stage and each end. */
+/** @file outcome_table_test.cpp Outcomes for each stage and each end of a request. */
 
 #include "decision/request/outcome_table.h"
 #include "support/test_section.h"
@@ -7,8 +7,8 @@
 
 Test(request_outcome, whole_table)
 {
-    // The caller asks again whenever it is told "not run". If that was said of a request that had
-    // left for the backend server, the booking runs twice.
+    // A caller retries whenever it gets "not run". If a request that was sent to the backend
+    // server were reported as such, a booking would run twice.
     for (size_t stageIndex = 0; stageIndex < RequestStageCount; ++stageIndex) {
         for (size_t endIndex = 0; endIndex < RequestEndCount; ++endIndex) {
             const auto stage = static_cast<RequestStage>(stageIndex);
@@ -30,21 +30,21 @@
     }
 }
 
-Test(request_outcome, particular_answers)
+Test(request_outcome, particular_outcomes)
 {
-    SECTION("a refusal by the backend server counts only when it was read whole")
+    SECTION("a refusal by the backend server proves not-run only if it was read completely")
     {
         cr_assert(decideOutcome(RequestStage::Answered, RequestEnd::BackendRefused).outcome
                   == Outcome::NotRun);
         cr_assert(decideOutcome(RequestStage::PartlyAnswered, RequestEnd::BackendRefused).outcome
                   == Outcome::Unknown);
     }
-    SECTION("a wrong owner is 421 and not run")
+    SECTION("a wrong owner gives 421 and not run")
     {
         const OutcomeDecision verdict = decideOutcome(RequestStage::Queued, RequestEnd::NotOwner);
         cr_assert(verdict.status == 421 && verdict.outcome == Outcome::NotRun);
     }
-    SECTION("each refusal that may pass says when to come back")
+    SECTION("each temporary refusal states when to retry")
     {
         for (const RequestEnd end :
              {RequestEnd::Overloaded, RequestEnd::QueueTimeout, RequestEnd::NoLease,
@@ -52,7 +52,7 @@
             cr_assert(decideOutcome(RequestStage::Received, end).retryAfter.count() > 0);
         }
     }
-    SECTION("an earlier sending of the same key may have run, wherever this one stands")
+    SECTION("an earlier request with the same key may have run, whatever the stage of this one")
     {
         for (const RequestEnd end :
              {RequestEnd::IdempotencyKeyInProgress, RequestEnd::IdempotencyOutcomeUnknown,
--- a/test/unit/request/request_router_test.cpp
+++ b/test/unit/request/request_router_test.cpp
@@ -1,4 +1,4 @@
-/** @file request_router_test.cpp What callers of the first node are told when attempts fail. */
+/** @file request_router_test.cpp Answers of the ingress node when attempts fail. */
 
 #include "duty/request_router.h"
 
@@ -15,8 +15,8 @@
 
 constexpr milliseconds LongTime{20000}; ///< Far above what a test takes.
 
-/** Keys play no part here. */
-class NoKeys final : public KeyOwnership
+/** Owns no keys; the tests do not need any. */
+class NoOwnership final : public KeyOwnership
 {
 public:
     RequestEnd check(ShardKey, TimePoint) const override { return RequestEnd::NoLease; }
@@ -26,7 +26,7 @@
     bool isLeaving() const override { return false; }
 };
 
-/** One node beside one backend server that plays a script. */
+/** One node beside one backend server that runs scripts. */
 struct Fixture {
     explicit Fixture(std::vector<BackendScript> scripts)
         : backend(std::make_shared<ScriptedBackend>(context, std::move(scripts)))
@@ -61,7 +61,7 @@
         (void)view.onConfig(std::move(config));
     }
 
-    /** Makes the service one of keys; node 2 holds all of them. */
+    /** Makes the service sharded; node 2 owns all of its keys. */
     void shard()
     {
         RouteConfig config = *view.routes().config();
@@ -87,7 +87,7 @@
     std::shared_ptr<ScriptedBackend> backend;
     BootClockAdapter clock;
     platform::RequestHeaders protocol;
-    NoKeys keys;
+    NoOwnership keys;
     BackendMonitor monitor{MonitorLimits{}};
     FleetView view;
     PeerLoads loads;
@@ -97,9 +97,9 @@
                          loads,   gate,  peers,    {NodeId(1), "domain", "one", {}}};
 };
 
-/** Another node; the first one's backend server leaves. */
-struct Neighbour {
-    explicit Neighbour(Fixture &fixture, NodeId node = NodeId(2))
+/** Another node with a ready backend server; that of the first node is draining. */
+struct PeerNode {
+    explicit PeerNode(Fixture &fixture, NodeId node = NodeId(2))
         : peers(fixture.context, "127.0.0.1", 0)
     {
         peers.serve("/hop", [this](std::string body) { return onHop(std::move(body)); });
@@ -126,17 +126,17 @@
         reply.set_outcome(v1::HOP_OUTCOME_DONE);
         reply.set_status(200);
         reply.set_reached_backend(true);
-        if (givenTo) {
+        if (newOwner) {
             reply = makeOutcomeReply(RequestStage::Received, RequestEnd::NotOwner);
-            reply.set_owner_node(givenTo->node.value());
-            reply.set_epoch(givenTo->fence.value());
+            reply.set_owner_node(newOwner->node.value());
+            reply.set_epoch(newOwner->fence.value());
         }
         co_return reply.SerializeAsString();
     }
 
     PeerLink peers;
     uint32_t hops = 0;
-    std::optional<KeyOwner> givenTo; ///< Who holds its keys now.
+    std::optional<KeyOwner> newOwner; ///< If set, the node that owns its keys now.
 };
 
 std::string answerWith(const std::string &status)
@@ -148,7 +148,7 @@
 
 } // namespace
 
-Test(request_router, an_answer_is_passed_on)
+Test(request_router, a_response_is_passed_on)
 {
     Fixture fixture({{answerWith("200 OK")}});
     const HttpResponse response = fixture.ask();
@@ -156,9 +156,9 @@
     cr_assert(response.body() == "body");
 }
 
-// A caller is told that its request has not run, though it has: the backend server ran it and
-// answered 500, and nobody else was there to be asked a second time. That second attempt's refusal
-// is true of itself only; the answer that is there is given instead.
+// Guards against a false "not run": the backend server ran the request and answered 500, and the
+// second attempt was refused because there is no other instance. That refusal concerns only the
+// second attempt, so the caller must get the response of the first.
 Test(request_router, a_failure_that_was_answered_is_not_turned_into_a_refusal)
 {
     Fixture fixture({{answerWith("500 Internal Server Error")}});
@@ -168,10 +168,10 @@
     cr_assert_eq(fixture.backend->requests().size(), 1U);
 }
 
-// A node has to stop while the store is away, so nobody can take its keys and it serves them to its
-// end. A request that it hands over in its last second is cut off with the process, and its caller
-// is told that it may have run; turned away before it is handed over, it has provably not.
-Test(request_router, a_node_that_ends_takes_no_request_that_may_outlive_it)
+// A node that stops while the store is unavailable cannot hand over its keys and serves them until
+// its process ends. A request sent in the last second would be cut off, and the caller could
+// only be informed that it may have run. Refused before it is sent, it has provably not run.
+Test(request_router, a_stopping_node_takes_no_request_that_may_outlive_it)
 {
     Fixture fixture({{answerWith("200 OK")}});
     fixture.gate.setShutdownDeadline(fixture.clock.now() + LongTime);
@@ -181,45 +181,45 @@
     cr_assert_eq(fixture.backend->requests().size(), 1U);
 }
 
-// The same for a request that another node would serve: the caller's connection is cut with the
-// process that waits for the answer, while the request runs there. Turned away before it is passed
-// on, it has provably not.
-Test(request_router, a_node_that_ends_passes_nothing_on_that_may_outlive_it)
+// The same for a request that another node would serve: the caller's connection would close with
+// the process that waits for the response, while the request runs elsewhere. Refused before it is
+// forwarded, it has provably not run.
+Test(request_router, a_stopping_node_forwards_no_request_that_may_outlive_it)
 {
     Fixture fixture({{answerWith("200 OK")}});
-    Neighbour neighbour(fixture);
+    PeerNode peer(fixture);
     fixture.gate.setShutdownDeadline(fixture.clock.now() + LongTime + LongTime);
     cr_assert_eq(fixture.ask().result_int(), 200U);
-    cr_assert_eq(neighbour.hops, 1U);
+    cr_assert_eq(peer.hops, 1U);
     fixture.gate.setShutdownDeadline(fixture.clock.now() + milliseconds(1000));
     cr_assert_eq(fixture.ask().result_int(), 503U);
-    cr_assert_eq(neighbour.hops, 1U);
+    cr_assert_eq(peer.hops, 1U);
 }
 
-// Guards against a wait for the news of a move that the earlier holder of the key can tell of.
-Test(request_router, a_request_follows_a_key_to_the_holder_that_is_named)
+// Guards against waiting for a table update that the previous owner of the key can provide.
+Test(request_router, a_request_follows_a_key_to_the_owner_that_is_named)
 {
     Fixture fixture({{answerWith("200 OK")}});
-    Neighbour earlier(fixture);
-    Neighbour present(fixture, NodeId(3));
+    PeerNode previous(fixture);
+    PeerNode current(fixture, NodeId(3));
     fixture.shard();
-    SECTION("to the holder under a higher fence")
+    SECTION("to an owner with a higher fencing token")
     {
-        earlier.givenTo = KeyOwner{NodeId(3), Epoch(9)};
+        previous.newOwner = KeyOwner{NodeId(3), Epoch(9)};
         cr_assert_eq(fixture.ask().result_int(), 200U);
-        cr_assert_eq(earlier.hops, 1U);
-        cr_assert_eq(present.hops, 1U);
+        cr_assert_eq(previous.hops, 1U);
+        cr_assert_eq(current.hops, 1U);
     }
-    SECTION("but not on word that is older than the table")
+    SECTION("but not to an owner that is older than the table")
     {
-        earlier.givenTo = KeyOwner{NodeId(3), Epoch(0)};
+        previous.newOwner = KeyOwner{NodeId(3), Epoch(0)};
         cr_assert_eq(fixture.ask().result_int(), 503U);
-        cr_assert_eq(present.hops, 1U);
+        cr_assert_eq(current.hops, 1U);
     }
 }
 
-// The same where the answer was lost: the request may have run, and no refusal may hide that.
-Test(request_router, a_lost_answer_is_not_turned_into_a_refusal)
+// The same if the response was lost: the request may have run, and no later refusal may hide this.
+Test(request_router, a_lost_response_is_not_turned_into_a_refusal)
 {
     Fixture fixture({{"", milliseconds(0), true}});
     cr_assert_eq(fixture.ask().result_int(), 502U);
--- a/test/unit/request/retry_policy_test.cpp
+++ b/test/unit/request/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-/** @file retry_policy_test.cpp Retries are safe, bounded, and within the deadline. */
+/** @file retry_policy_test.cpp Retries are safe, limited, and within the deadline. */
 
 #include "decision/request/retry_policy.h"
 #include "support/test_section.h"
@@ -25,24 +25,24 @@
     RetryBudget budget{RetryLimits{}};
     cr_assert(decideRetry(makeFailed(Outcome::NotRun, false), budget, 0.5, Start).retry);
     cr_assert(decideRetry(makeFailed(Outcome::Unknown, true), budget, 0.5, Start).retry);
-    SECTION("an unknown outcome that must not repeat is never retried")
+    SECTION("a request with unknown outcome that must not be repeated is never retried")
     {
         cr_assert(!decideRetry(makeFailed(Outcome::Unknown, false), budget, 0.5, Start).retry);
     }
-    SECTION("the last try is not followed by another")
+    SECTION("the last attempt is not followed by another")
     {
         FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         failed.attempt = budget.limits().attempts - 1;
         cr_assert(!decideRetry(failed, budget, 0.5, Start).retry);
     }
-    SECTION("a pause past the deadline is given up at once")
+    SECTION("a back-off beyond the deadline ends the attempts at once")
     {
         FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         failed.retryAfter = milliseconds(200);
         failed.deadlineLeft = milliseconds(150);
         cr_assert(!decideRetry(failed, budget, 0.5, Start).retry);
     }
-    SECTION("the other side's pause is kept, and jitter spreads the own one")
+    SECTION("the other side's retry time is respected, and jitter spreads the back-off")
     {
         FailedAttempt failed = makeFailed(Outcome::NotRun, false);
         const auto early = decideRetry(failed, budget, 0.0, Start);
@@ -55,8 +55,8 @@
 
 Test(request_retry, budget)
 {
-    // The backend servers of a service fail for a minute and all callers' requests with them.
-    // Each retry would add load to what fails already; the budget lets a few through and no more.
+    // All requests of a service fail for a minute. Each retry would add load to what is already
+    // failing; the budget allows only a few.
     RetryLimits limits;
     limits.reserve = 2;
     RetryBudget budget(limits);
@@ -65,7 +65,7 @@
         made += decideRetry(makeFailed(Outcome::NotRun, false), budget, 0.5, Start).retry ? 1 : 0;
     }
     cr_assert(made == 2);
-    SECTION("successes earn new ones")
+    SECTION("successes earn new retries")
     {
         for (uint32_t success = 0; success < 100; ++success) {
             budget.onSuccess(Start);
@@ -76,7 +76,7 @@
         }
         cr_assert(made == 10);
     }
-    SECTION("and old successes count less and less")
+    SECTION("the weight of old successes decays")
     {
         RetryBudget old(limits);
         for (uint32_t success = 0; success < 100; ++success) {
--- a/test/unit/request/route_resolver_test.cpp
+++ b/test/unit/request/route_resolver_test.cpp
@@ -1,4 +1,4 @@
-/** @file route_resolver_test.cpp A request finds its service, its rule and its key. */
+/** @file route_resolver_test.cpp Resolves the service, rule and key of a request. */
 
 #include "decision/request/route_resolver.h"
 #include "support/test_section.h"
--- a/test/unit/signals/health_test.cpp
+++ b/test/unit/signals/health_test.cpp
@@ -1,4 +1,4 @@
-/** @file health_test.cpp When a node says that it is alive and that it is ready. */
+/** @file health_test.cpp Liveness and readiness of a node. */
 
 #include "decision/health/health_decision.h"
 #include "support/test_section.h"
@@ -18,7 +18,7 @@
 
 Test(signals, readinessTruthTable)
 {
-    // Each of the four conditions alone takes the node out; all sixteen cases.
+    // Each of the four conditions alone makes the node unready; all sixteen combinations.
     for (unsigned bits = 0; bits < 16; ++bits) {
         ReadinessInput input;
         input.leaseUntil = (bits & 1U) != 0 ? at(1001) : at(1000);
@@ -39,11 +39,11 @@
 
 Test(signals, stuckLoopIsNamed)
 {
-    // What the operator sees: /healthz turns to 503 and names the duty. The duty's event loop
-    // hangs; its timer no longer records a turn; after the bound the process counts as stuck.
-    const std::vector<LoopActivity> turns{{"gate", at(0)}, {"control", at(500)}};
-    cr_assert(findStalledLoops(turns, at(0) + LoopStallTimeout).empty());
-    const auto stuck = findStalledLoops(turns, at(1) + LoopStallTimeout);
+    // The event loop of a duty hangs and its activity is no longer recorded. After the timeout the
+    // process counts as stalled, and /healthz answers 503 and names the duty.
+    const std::vector<LoopActivity> activities{{"gate", at(0)}, {"control", at(500)}};
+    cr_assert(findStalledLoops(activities, at(0) + LoopStallTimeout).empty());
+    const auto stuck = findStalledLoops(activities, at(1) + LoopStallTimeout);
     cr_assert_eq(stuck.size(), 1);
     cr_assert(stuck.front() == "gate");
 }
