--- a/src/decision/config/config_accept.cpp
+++ b/src/decision/config/config_accept.cpp
@@ -1,4 +1,4 @@
-/** @file config_accept.cpp Whether a change of the configuration is accepted. */
+/** @file config_accept.cpp Decides whether a configuration change is accepted. */
 
 #include "decision/config/config_accept.h"
 
@@ -30,8 +30,9 @@
     ConfigDecision decision;
     if (earlier.fingerprint != fingerprint) {
         decision.problems.push_back({ConfigProblemCode::RequestIdReused, "request_id",
-                                     "the id became version " + std::to_string(earlier.version)
-                                             + " with another content"});
+                                     "the id was already used for version "
+                                             + std::to_string(earlier.version)
+                                             + " with different content"});
         return decision;
     }
     decision.verdict = ConfigVerdict::AlreadyApplied;
@@ -39,7 +40,7 @@
     return decision;
 }
 
-/** @return The problems of @p request that are not about its id. */
+/** @return All problems of @p request except those with its id. */
 ConfigProblems findProblems(const ConfigRecord &stored, const ConfigRequest &request)
 {
     ConfigProblems problems = checkDeclarations(request.declarations);
@@ -87,11 +88,11 @@
     ConfigDecision decision;
     if (request.id == ConfigRequestId(0)) {
         decision.problems.push_back(
-                {ConfigProblemCode::BadArgument, "request_id", "a number above 0 is needed"});
+                {ConfigProblemCode::BadArgument, "request_id", "must be a number above 0"});
         return decision;
     }
-    // Looked up before anything else: a repeated call whose first reply was lost meets the version
-    // that it made itself, and would otherwise be told of a conflict with itself.
+    // Checked first: if the reply to the first call was lost, the repeated call finds the version
+    // that the first one created, which would otherwise be reported as a conflict.
     if (const AcceptedRequest *earlier = stored.findRequest(request.id)) {
         return decideRepeated(*earlier, request.fingerprint);
     }
--- a/src/decision/config/config_accept.h
+++ b/src/decision/config/config_accept.h
@@ -1,4 +1,4 @@
-/** @file config_accept.h Whether a change of the configuration is accepted. */
+/** @file config_accept.h Decides whether a configuration change is accepted. */
 
 #pragma once
 
@@ -10,65 +10,65 @@
 
 namespace wisteriahoist {
 
-using ConfigRequestId = StrongId<struct ConfigRequestIdTag>; ///< An operator's; 0 is none.
+using ConfigRequestId = StrongId<struct ConfigRequestIdTag>; ///< Chosen by the operator; 0: none.
 
-/** Requests that the configuration object remembers; about 10 minutes at 38,000 changes a day. */
+/** Requests kept in the configuration object; about 10 minutes at 38,000 changes per day. */
 inline constexpr size_t MaxRememberedRequests = 256;
 
-/** A change that was accepted. */
+/** An accepted change, kept to recognise repeated requests. */
 struct AcceptedRequest {
     ConfigRequestId id;
-    uint64_t version = 0;     ///< The version that it became.
-    uint64_t fingerprint = 0; ///< Hash of what was asked for.
+    uint64_t version = 0;     ///< The version that it created.
+    uint64_t fingerprint = 0; ///< Hash of the requested declarations.
     bool operator==(const AcceptedRequest &) const = default;
 };
 
-/** The configuration object: what is in force, and which requests made it so. */
+/** The configuration object: the current declarations and the latest accepted requests. */
 struct ConfigRecord {
     Declarations declarations;
-    std::vector<AcceptedRequest> recent; ///< Oldest first; at most MaxRememberedRequests; each
-                                         ///< version is lower than or equal to declarations'.
+    std::vector<AcceptedRequest> recent; ///< Oldest first; at most MaxRememberedRequests; no
+                                         ///< version is above that of the declarations.
 
-    /** @return The remembered request @p id, or nullptr. */
+    /** @return The accepted request @p id; nullptr if it is not kept. */
     const AcceptedRequest *findRequest(ConfigRequestId id) const;
 };
 
-/** An operator's change. */
+/** A change requested by an operator. */
 struct ConfigRequest {
     Declarations declarations; ///< The version in it is ignored.
     ConfigRequestId id;
-    uint64_t fingerprint = 0; ///< Hash of the declarations as sent; tells a reuse of the id.
+    uint64_t fingerprint = 0; ///< Hash of the declarations as sent; detects reuse of the id.
     std::optional<uint64_t> expectedVersion;
     bool allowDelete = false;
     bool allowRehash = false;
     bool allowUnfence = false;
 };
 
-/** What is to be done with a change. */
+/** How to proceed with a change. */
 enum class ConfigVerdict {
-    Write,          ///< Write the record, then answer.
+    Write,          ///< Write the record, then respond.
     AlreadyApplied, ///< The request was accepted before; nothing is done.
-    Unchanged,      ///< What is stored says the same; nothing is done.
+    Unchanged,      ///< Equal to the stored declarations; nothing is done.
     Refused,        ///< See the problems.
 };
 
 /** The decision about one change. */
 struct ConfigDecision {
     ConfigVerdict verdict = ConfigVerdict::Refused;
-    uint64_t version = 0; ///< That the change has or gets; 0 if refused.
+    uint64_t version = 0; ///< Version of the change; 0 if refused.
     ConfigProblems problems;
-    std::vector<ConfigChange> changes; ///< Against what is stored.
-    ConfigRecord record;               ///< For Write: the whole new object.
+    std::vector<ConfigChange> changes; ///< Differences from the stored declarations.
+    ConfigRecord record;               ///< For Write: the complete new object.
 };
 
 /**
- * Decides about one change as a whole.
+ * Accepts or refuses one change as a whole.
  *
- * @param stored The configuration object as it is in the platform; default if there is none.
+ * @param stored The configuration object as stored in the platform; default if there is none.
  * @param request The change.
- * @param floor The highest version that this node has had in force. The next version is above it
- *              too: after the platform lost the object (deleted, or restored from a backup), a
- *              lower one would be accepted here and refused by every node that knows better.
+ * @param floor The highest version that has been in effect at this node. The next version is also
+ *              above this one: if the platform has lost the object (deleted, or restored from a
+ *              backup), a lower version would be accepted here and refused by every other node.
  */
 ConfigDecision decideChange(const ConfigRecord &stored, const ConfigRequest &request,
                             uint64_t floor);
--- a/src/decision/config/config_guard.cpp
+++ b/src/decision/config/config_guard.cpp
@@ -1,4 +1,4 @@
-/** @file config_guard.cpp Keeps a node from ever putting an older configuration in force. */
+/** @file config_guard.cpp Prevents a node from applying an older configuration. */
 
 #include "decision/config/config_guard.h"
 
--- a/src/decision/config/config_guard.h
+++ b/src/decision/config/config_guard.h
@@ -1,4 +1,4 @@
-/** @file config_guard.h Keeps a node from ever putting an older configuration in force. */
+/** @file config_guard.h Prevents a node from applying an older configuration. */
 
 #pragma once
 
@@ -6,37 +6,38 @@
 
 namespace wisteriahoist {
 
-/** What became of an offered configuration. */
+/** Result of offering a configuration. */
 enum class ConfigOffer {
-    Newer,       ///< Put in force.
-    Same,        ///< Already in force.
+    Newer,       ///< Applied.
+    Same,        ///< Already in effect.
     Older,       ///< Refused.
-    Conflicting, ///< Refused: the version in force, with another content.
+    Conflicting, ///< Refused: the current version with different content.
 };
 
 /**
- * Holds the configuration in force at one node. Every source goes through offer(): the
- * coordinator's replies, the platform's watch, a relay.
+ * Holds the configuration in effect at one node. Configurations from all sources pass through
+ * offer(): replies of the coordinator, the watch of the platform, and relays.
  *
- * Failure prevented: messages are overtaken by others, and a coordinator that was paused sends what
- * was in force before its pause; applied in order of arrival, a deleted service would serve again.
- * The version is enough because it rises with each accepted change by conditional update of a
- * single object, so that two accepted contents never share one. A node has no disk: after a
- * restart it holds version 0, which names no service, and serves nothing until the coordinator of a
- * term that has this incarnation in its roster gave it a configuration.
+ * Messages may be reordered, and a coordinator that was paused sends the configuration from before
+ * its pause; if these were applied in order of arrival, a deleted service would be served again.
+ * Comparing versions is sufficient because each accepted change increases the version by a
+ * conditional update of a single object, so two accepted contents never have the same version. A
+ * node has no disk: after a restart it holds version 0, which contains no service, and serves
+ * nothing until it receives a configuration from the coordinator of a term that has this
+ * incarnation in its roster.
  */
 class ConfigGuard
 {
 public:
-    /** Offers @p declarations from any source. */
+    /** Applies @p declarations if they are newer than those in effect. */
     ConfigOffer offer(const Declarations &declarations);
 
     const Declarations &inForce() const { return inForce_; }
     uint64_t refusedCount() const { return refused_; }
 
 private:
-    Declarations inForce_; ///< Invariant: its version never falls.
-    uint64_t refused_ = 0; ///< Offers that were older or conflicting.
+    Declarations inForce_; ///< Invariant: its version never decreases.
+    uint64_t refused_ = 0; ///< Older or conflicting offers.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/config/config_problem_type.h
+++ b/src/decision/config/config_problem_type.h
@@ -1,4 +1,4 @@
-/** @file config_problem_type.h Why a change of the configuration is refused, and differences. */
+/** @file config_problem_type.h Problems of a configuration change, and configuration diffs. */
 
 #pragma once
 
@@ -10,33 +10,33 @@
 
 /** Why a change is refused. */
 enum class ConfigProblemCode {
-    BadArgument,       ///< Breaks a rule of the schema.
-    TooLarge,          ///< More than a bound allows.
-    Duplicate,         ///< A name or host that must be unique stands twice.
-    UnreachableRoute,  ///< An earlier route of the service matches all that it would match.
-    VersionConflict,   ///< Another change came first.
-    NeedsAllowDelete,  ///< A declared service would disappear.
+    BadArgument,       ///< Violates a rule of the schema.
+    TooLarge,          ///< Exceeds a limit.
+    Duplicate,         ///< A name or host that must be unique occurs twice.
+    UnreachableRoute,  ///< An earlier route of the service matches all its requests.
+    VersionConflict,   ///< Another change was accepted before.
+    NeedsAllowDelete,  ///< A declared service would be deleted.
     NeedsAllowRehash,  ///< The key space of a declared service would change.
     NeedsAllowUnfence, ///< A declared service would go from fenced to unchecked.
-    RequestIdReused,   ///< The request id stands for a change with other content.
+    RequestIdReused,   ///< The request id was used for a change with other content.
 };
 
 /** One reason for a refusal. */
 struct ConfigProblem {
     ConfigProblemCode code = ConfigProblemCode::BadArgument;
-    std::string path;    ///< Within the configuration: services[2].routes[0].deadline_ms.
-    std::string message; ///< For people; never parsed.
+    std::string path;    ///< For example services[2].routes[0].deadline_ms.
+    std::string message; ///< Human-readable; never parsed.
 };
 
 using ConfigProblems = std::vector<ConfigProblem>;
 
-/** What happened to one element or value. */
+/** Kind of change to one element or value. */
 enum class ConfigChangeKind { Added, Removed, Changed };
 
 /** One difference between two configurations. */
 struct ConfigChange {
     ConfigChangeKind kind = ConfigChangeKind::Changed;
-    std::string path;   ///< services[NAME].key_space.hash_seed
+    std::string path;   ///< For example services[NAME].key_space.hash_seed.
     std::string before; ///< As declared; empty if added.
     std::string after;  ///< As declared; empty if removed.
     bool operator==(const ConfigChange &) const = default;
--- a/src/decision/config/declaration_check.cpp
+++ b/src/decision/config/declaration_check.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_check.cpp Whether a whole set of declarations keeps every rule. */
+/** @file declaration_check.cpp Validates a complete set of declarations. */
 
 #include "decision/config/declaration_check.h"
 
@@ -15,7 +15,7 @@
     return (letter >= 'a' && letter <= 'z') || (letter >= '0' && letter <= '9');
 }
 
-/** @return Whether @p text has 1 to @p most characters, each for which @p allowed holds. */
+/** @return Whether @p text has 1 to @p most characters, all of which are @p allowed. */
 template <typename Allowed>
 bool isWord(std::string_view text, size_t most, Allowed allowed)
 {
@@ -40,7 +40,7 @@
         : path_(std::move(path)), problems_(problems)
     { }
 
-    /** Adds a problem about @p field unless @p holds. */
+    /** Adds a problem with @p field unless @p holds is true. */
     void need(bool holds, std::string_view field, std::string message,
               ConfigProblemCode code = ConfigProblemCode::BadArgument)
     {
@@ -68,15 +68,16 @@
 void checkKeySpace(const KeySpaceDeclaration &keySpace, Checker checker)
 {
     if (keySpace.place == KeyPlace::PathSegment) {
-        checker.need(keySpace.name.empty(), "name", "a path segment has no name");
+        checker.need(keySpace.name.empty(), "name", "must be empty for a path segment");
         checker.need(keySpace.segment <= MaxPathSegment, "segment",
                      "found " + std::to_string(keySpace.segment) + ", at most "
                              + std::to_string(MaxPathSegment));
     } else {
         checker.need(isWord(keySpace.name, MaxKeyName, isVisible), "name",
                      quote(keySpace.name) + "1 to " + std::to_string(MaxKeyName)
-                             + " visible characters are needed");
-        checker.need(keySpace.segment == 0, "segment", "only a path segment has an index");
+                             + " printable ASCII characters without spaces are required");
+        checker.need(keySpace.segment == 0, "segment",
+                     "must be 0 unless the key is in a path segment");
     }
     checker.need(keySpace.hashSeed <= INT64_MAX, "hash_seed", "at most 2^63 - 1");
     checker.need(keySpace.initialSlices >= 1 && keySpace.initialSlices <= MaxInitialSlices,
@@ -89,7 +90,8 @@
 {
     const auto isUpper = [](char letter) { return letter >= 'A' && letter <= 'Z'; };
     checker.need(route.method.empty() || isWord(route.method, MaxMethod, isUpper), "method",
-                 quote(route.method) + "A to Z, at most " + std::to_string(MaxMethod));
+                 quote(route.method) + "only letters A to Z are allowed, at most "
+                         + std::to_string(MaxMethod));
     const bool isPath = isWord(route.pathPrefix, MaxPathPrefix, isVisible)
                         && route.pathPrefix.starts_with('/')
                         && route.pathPrefix.find_first_of("?#") == std::string::npos;
@@ -99,7 +101,7 @@
     checker.need(route.deadline >= milliseconds(1) && route.deadline <= MaxDeadline, "deadline_ms",
                  "found " + std::to_string(route.deadline.count()) + ", 1 to "
                          + std::to_string(MaxDeadline.count()) + " are allowed");
-    // A request past its deadline is answered at once, so a longer wait could never be used.
+    // A request is answered when its deadline expires, so a longer wait would have no effect.
     checker.need(route.queueTimeout >= milliseconds(0) && route.queueTimeout <= route.deadline,
                  "patience_ms",
                  "found " + std::to_string(route.queueTimeout.count())
@@ -115,9 +117,11 @@
 
 void checkRoutes(const ServiceDeclaration &service, Checker checker)
 {
-    checker.need(!service.routes.empty(), "routes", "at least one is needed");
+    checker.need(!service.routes.empty(), "routes", "at least one route is required");
     checker.need(service.routes.size() <= MaxRoutes, "routes",
-                 "at most " + std::to_string(MaxRoutes), ConfigProblemCode::TooLarge);
+                 "found " + std::to_string(service.routes.size()) + " routes, at most "
+                         + std::to_string(MaxRoutes) + " are allowed",
+                 ConfigProblemCode::TooLarge);
     const size_t count = std::min(service.routes.size(), MaxRoutes);
     for (size_t index = 0; index < count; ++index) {
         const RouteRule &route = service.routes[index];
@@ -125,7 +129,8 @@
         for (size_t earlier = 0; earlier < index; ++earlier) {
             if (shadows(service.routes[earlier], route)) {
                 checker.need(false, indexed("routes", index),
-                             indexed("routes", earlier) + " matches all that it would match",
+                             indexed("routes", earlier)
+                                     + " already matches every request that this route matches",
                              ConfigProblemCode::UnreachableRoute);
                 break;
             }
@@ -142,7 +147,7 @@
     const auto isHostLetter
             = [](char letter) { return isLowerOrDigit(letter) || letter == '-' || letter == '.'; };
     checker.need(isWord(service.host, MaxHost, isHostLetter), "host",
-                 quote(service.host) + "a host name in lower case without a port is needed");
+                 quote(service.host) + "a lower-case host name without a port is required");
     checkKeySpace(service.keySpace, checker.below("key_space"));
     checkRoutes(service, checker);
 }
@@ -154,7 +159,9 @@
     ConfigProblems problems;
     Checker root("", problems);
     root.need(declarations.services.size() <= MaxServices, "services",
-              "at most " + std::to_string(MaxServices), ConfigProblemCode::TooLarge);
+              "found " + std::to_string(declarations.services.size()) + " services, at most "
+                      + std::to_string(MaxServices) + " are allowed",
+              ConfigProblemCode::TooLarge);
     std::map<std::string_view, size_t> names;
     std::map<std::string_view, size_t> hosts;
     const size_t count = std::min(declarations.services.size(), MaxServices);
@@ -164,11 +171,11 @@
         checkService(service, checker);
         const auto [name, newName] = names.emplace(service.name, index);
         checker.need(newName, "name",
-                     quote(service.name) + indexed("services", name->second) + " has it too",
+                     quote(service.name) + "already used by " + indexed("services", name->second),
                      ConfigProblemCode::Duplicate);
         const auto [host, newHost] = hosts.emplace(service.host, index);
         checker.need(newHost, "host",
-                     quote(service.host) + indexed("services", host->second) + " has it too",
+                     quote(service.host) + "already used by " + indexed("services", host->second),
                      ConfigProblemCode::Duplicate);
     }
     return problems;
--- a/src/decision/config/declaration_check.h
+++ b/src/decision/config/declaration_check.h
@@ -1,4 +1,4 @@
-/** @file declaration_check.h Whether a whole set of declarations keeps every rule. */
+/** @file declaration_check.h Validates a complete set of declarations. */
 
 #pragma once
 
@@ -10,7 +10,7 @@
 namespace wisteriahoist {
 
 inline constexpr size_t MaxServices = 1000;
-inline constexpr size_t MaxRoutes = 256; ///< Of one service.
+inline constexpr size_t MaxRoutes = 256; ///< Per service.
 inline constexpr size_t MaxServiceName = 63;
 inline constexpr size_t MaxHost = 253;
 inline constexpr size_t MaxMethod = 16;
@@ -20,7 +20,7 @@
 inline constexpr uint32_t MaxInitialSlices = 65536;
 inline constexpr milliseconds MaxDeadline{600000};
 
-/** @return Everything that is wrong, in the order of the declarations; empty if they are good. */
+/** @return All problems, in the order of the declarations; empty if they are valid. */
 ConfigProblems checkDeclarations(const Declarations &declarations);
 
 } // namespace wisteriahoist
--- a/src/decision/config/declaration_diff.cpp
+++ b/src/decision/config/declaration_diff.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_diff.cpp The differences between two sets of declarations. */
+/** @file declaration_diff.cpp Compares two sets of declarations. */
 
 #include "decision/config/declaration_diff.h"
 
@@ -104,7 +104,7 @@
     comparer.compare("missing_age", missingAgeName(before.missingAge),
                      missingAgeName(after.missingAge));
     if (changes.size() == found) {
-        // A member that has no line above differs: never call different routes equal.
+        // A member that isn't compared above differs: the routes must not be reported as equal.
         comparer.add(ConfigChangeKind::Changed, "", describeRoute(before), describeRoute(after));
     }
 }
@@ -139,7 +139,7 @@
         }
     }
     if (changes.size() == found) {
-        // As for routes: a member without a line above must not make a change look like none.
+        // As for routes, if a member that isn't compared above differs.
         comparer.add(ConfigChangeKind::Changed, "", before.host, after.host);
     }
 }
@@ -243,8 +243,9 @@
             continue;
         }
         if (rehashes(found->second->keySpace, service.keySpace)) {
-            problems.push_back({ConfigProblemCode::NeedsAllowRehash, path + ".key_space",
-                                "every key of " + service.name + " may move to another server"});
+            problems.push_back(
+                    {ConfigProblemCode::NeedsAllowRehash, path + ".key_space",
+                     "every key of " + service.name + " may move to another backend server"});
         }
         const bool unfenced = found->second->grantMode == GrantMode::Fenced
                               && service.grantMode == GrantMode::Unchecked;
@@ -257,7 +258,7 @@
     for (const auto &[name, service] : old) {
         if (after.findService(name) == nullptr) {
             problems.push_back({ConfigProblemCode::NeedsAllowDelete, pathOf(name),
-                                "the service would disappear"});
+                                "the service would be deleted"});
         }
     }
     return problems;
--- a/src/decision/config/declaration_diff.h
+++ b/src/decision/config/declaration_diff.h
@@ -1,4 +1,4 @@
-/** @file declaration_diff.h The differences between two sets of declarations. */
+/** @file declaration_diff.h Compares two sets of declarations. */
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace wisteriahoist {
 
-/** @name Values as they stand in declaration files. @{ */
+/** @name Enum values as written in declaration files. @{ */
 std::string_view keyPlaceName(KeyPlace place);
 std::string_view repetitionName(Repetition repetition);
 std::string_view grantModeName(GrantMode mode);
@@ -20,17 +20,18 @@
 /** @} */
 
 /**
- * Compares two sets of declarations. Services are matched by name, routes by position, since the
- * first route that matches decides. The order of services has no meaning.
- * @return Nothing if and only if both say the same.
+ * Compares two sets of declarations. Services are matched by name, and routes by position because
+ * the first matching route applies. The order of services is not significant.
+ * @return The differences; empty if and only if both are equivalent.
  */
 std::vector<ConfigChange> diffDeclarations(const Declarations &before, const Declarations &after);
 
-/** @return Whether a key may hash or be found differently under @p after than under @p before. */
+/** @return Whether a key may be extracted or hashed differently by @p after than by @p before. */
 bool rehashes(const KeySpaceDeclaration &before, const KeySpaceDeclaration &after);
 
 /**
- * Finds the changes that move or stop what serves and that need a flag of their own.
+ * Finds changes that move keys, delete a service or give up checks of grants, and so require an
+ * explicit flag.
  * @return A problem for each, with the path within @p after (for a deletion: services[NAME]).
  */
 ConfigProblems findGuardedChanges(const Declarations &before, const Declarations &after);
--- a/src/decision/config/declaration_type.h
+++ b/src/decision/config/declaration_type.h
@@ -1,4 +1,4 @@
-/** @file declaration_type.h What operators declare: services, key spaces and request rules. */
+/** @file declaration_type.h Declarations of operators: services, key spaces and request rules. */
 
 #pragma once
 
@@ -19,39 +19,39 @@
 
 /** Whether a request may run more than once. */
 enum class Repetition {
-    Idempotent,    ///< Running it again changes nothing; it may be retried.
-    MustNotRepeat, ///< At most one run; an unknown outcome is never retried.
+    Idempotent,    ///< Repeating it has no further effect; it may be retried.
+    MustNotRepeat, ///< Runs at most once; not retried if the outcome is unknown.
 };
 
-/** What a must-not-repeat request without an idempotency key gets. */
+/** Handling of a must-not-repeat request without an idempotency key. */
 enum class MissingKey {
-    Refuse,        ///< 400; it is not run.
-    SingleAttempt, ///< One try, no retry; a repeat by the caller cannot be recognised.
+    Refuse,        ///< Answered with 400; not run.
+    SingleAttempt, ///< One attempt, no retry; a repeat by the caller isn't recognised.
 };
 
-/** What a must-not-repeat request gets whose idempotency key does not state its age. */
+/** Handling of a must-not-repeat request whose idempotency key does not state its age. */
 enum class MissingAge {
-    Refuse,       ///< Unknown outcome, while the owner is younger than the keys' time to live.
-    FirstSending, ///< Taken as the first; a repeat after a change of owner runs again.
+    Refuse,       ///< Answered as unknown outcome while the owner is younger than the keys' TTL.
+    FirstSending, ///< Treated as the first; a repeat after a change of owner runs again.
 };
 
-/** Which measure the placement of a service weighs most. */
+/** The measure that has the highest weight in the placement of a service. */
 enum class MeasurePriority {
-    Even,            ///< None first.
-    UnavailableTime, ///< An owner who waits leaves.
-    Churn,           ///< State is costly to move; callers can wait.
+    Even,            ///< All have the same weight.
+    UnavailableTime, ///< Callers leave if they have to wait.
+    Churn,           ///< State is expensive to move; callers can wait.
 };
 
-/** What an ingress does with a request whose owner is another node. */
+/** Handling of a request at an ingress when another node owns its key. */
 enum class Misrouted {
-    Forward,  ///< Runs it there and returns the answer.
+    Forward,  ///< Forwards it to the owner and returns the response.
     Redirect, ///< 307 to the owner's caller address.
 };
 
-/** What the backend servers of a service check. */
+/** Which checks of grants the backend servers of a service make. */
 enum class GrantMode {
-    Fenced,    ///< The backend server refuses a grant with an older epoch or past its expiry.
-    Unchecked, ///< The backend server checks nothing; the node beside it is the only door.
+    Fenced,    ///< They refuse a grant with an older epoch or after its expiry.
+    Unchecked, ///< None; requests must arrive only through the local node.
 };
 
 /** A rule for the requests of one service. */
@@ -60,20 +60,20 @@
     std::string pathPrefix = "/";
     bool keyed = true; ///< false: any instance may serve it.
     Repetition repetition = Repetition::MustNotRepeat;
-    milliseconds deadline{2000};    ///< Default, and the highest a caller may ask for.
-    milliseconds queueTimeout{500}; ///< How long it may wait in the queue.
+    milliseconds deadline{2000};    ///< Default and maximum for callers' requests.
+    milliseconds queueTimeout{500}; ///< Maximum time in the admission queue.
     MissingKey missingKey = MissingKey::Refuse;
     MissingAge missingAge = MissingAge::Refuse;
     bool operator==(const RouteRule &) const = default;
 };
 
-/** The key space that a service divides among its instances. */
+/** The key space that is divided among the instances of a service. */
 struct KeySpaceDeclaration {
     KeyPlace place = KeyPlace::PathSegment;
     std::string name;     ///< Name of the header or query parameter.
     uint32_t segment = 0; ///< Index of the path segment.
     uint64_t hashSeed = 0;
-    uint32_t initialSlices = 64; ///< Ranges that a new key space is cut into.
+    uint32_t initialSlices = 64; ///< Number of ranges of a new key space.
     bool operator==(const KeySpaceDeclaration &) const = default;
 };
 
@@ -82,16 +82,16 @@
     std::string name;
     std::string host; ///< Requests with this Host header belong to the service.
     KeySpaceDeclaration keySpace;
-    std::vector<RouteRule> routes; ///< The first that matches decides.
+    std::vector<RouteRule> routes; ///< The first match applies.
     GrantMode grantMode = GrantMode::Fenced;
     Misrouted misrouted = Misrouted::Forward;
     MeasurePriority priority = MeasurePriority::Even;
     bool operator==(const ServiceDeclaration &) const = default;
 };
 
-/** All that is declared; accepted and put in force as a whole. */
+/** A complete set of declarations, accepted and applied as a whole. */
 struct Declarations {
-    uint64_t version = 0; ///< Rises by one with each accepted change; 0: nothing declared yet.
+    uint64_t version = 0; ///< Increases by one with each accepted change; 0: none yet.
     std::vector<ServiceDeclaration> services;
 
     const ServiceDeclaration *findService(std::string_view name) const
--- a/src/decision/member/backend_monitor.cpp
+++ b/src/decision/member/backend_monitor.cpp
@@ -1,4 +1,4 @@
-/** @file backend_monitor.cpp Which life of the backend server beside this node is up. */
+/** @file backend_monitor.cpp Tracks the current incarnation of the local backend server. */
 
 #include "decision/member/backend_monitor.h"
 
@@ -15,38 +15,40 @@
         return "report";
     case BackendEvidence::Deregistration:
         return "deregistration";
-    case BackendEvidence::OtherLife:
+    case BackendEvidence::OtherIncarnation:
         return "other-life";
     case BackendEvidence::RefusedConnections:
         return "refused-connections";
     case BackendEvidence::Answer:
         return "answer";
-    case BackendEvidence::Silence:
+    case BackendEvidence::NoResponse:
         return "silence";
     }
     return "unknown";
 }
 
-void BackendMonitor::beginLife(const BackendIncarnation &backend)
+void BackendMonitor::beginIncarnation(const BackendIncarnation &backend)
 {
-    endLife();
+    endIncarnation();
     backend_ = backend;
     sequence_ = 0;
     refusals_ = 0;
     refusing_ = false;
-    // A deregistration without the time of the start is taken for this life's: sent on to a backend
-    // server that has left, requests would be lost; kept from one that has not, they go elsewhere.
-    leaving_ = isDeparting(backend);
+    // A deregistration without a start time is attributed to this incarnation: if it has left,
+    // requests forwarded to it would be lost; if not, they only go to another backend server.
+    leaving_ = isDeregistered(backend);
 }
 
-bool BackendMonitor::isDeparting(const BackendIncarnation &backend) const
+bool BackendMonitor::isDeregistered(const BackendIncarnation &backend) const
 {
-    return std::any_of(departing_.begin(), departing_.end(), [&](const BackendIncarnation &life) {
-        return life.id == backend.id && (life.born == backend.born || life.born == 0);
-    });
+    return std::any_of(deregistered_.begin(), deregistered_.end(),
+                       [&](const BackendIncarnation &incarnation) {
+                           return incarnation.id == backend.id
+                                  && (incarnation.born == backend.born || incarnation.born == 0);
+                       });
 }
 
-void BackendMonitor::endLife()
+void BackendMonitor::endIncarnation()
 {
     if (backend_.empty()) {
         return;
@@ -54,12 +56,12 @@
     remember(ended_, backend_);
 }
 
-void BackendMonitor::remember(std::deque<BackendIncarnation> &lives,
+void BackendMonitor::remember(std::deque<BackendIncarnation> &incarnations,
                               const BackendIncarnation &backend) const
 {
-    lives.push_back(backend);
-    if (lives.size() > limits_.endedLives) {
-        lives.pop_front();
+    incarnations.push_back(backend);
+    if (incarnations.size() > limits_.endedIncarnations) {
+        incarnations.pop_front();
     }
 }
 
@@ -74,14 +76,14 @@
     if (hasEnded(report.backend)) {
         return false;
     }
-    const bool newLife = report.backend != backend_;
+    const bool newIncarnation = report.backend != backend_;
     const bool named = !hasReported() && report.backend.id == backend_.id;
-    if (newLife && named) {
-        // A look has shown the id; the report tells the rest.
+    if (newIncarnation && named) {
+        // Only the id was known, from a health check; the report contains the rest.
         backend_ = report.backend;
-        leaving_ |= isDeparting(backend_);
-    } else if (newLife) {
-        beginLife(report.backend);
+        leaving_ |= isDeregistered(backend_);
+    } else if (newIncarnation) {
+        beginIncarnation(report.backend);
     } else if (report.sequence <= sequence_) {
         return false;
     }
@@ -91,8 +93,8 @@
     refusing_ = false;
     leaving_ |= report.state == BackendState::Draining;
     const BackendState state = leaving_ ? BackendState::Draining : BackendState::Ready;
-    const bool changed
-            = newLife || state != state_ || slots_ != report.slots || service_ != report.service;
+    const bool changed = newIncarnation || state != state_ || slots_ != report.slots
+                         || service_ != report.service;
     evidence_ = BackendEvidence::Report;
     state_ = state;
     slots_ = report.slots;
@@ -102,9 +104,10 @@
 
 bool BackendMonitor::onDeregister(const BackendIncarnation &backend)
 {
-    const bool otherLife = backend.born != 0 && backend_.born != 0 && backend.born != backend_.born;
-    if (backend.id != backend_.id || otherLife) {
-        remember(departing_, backend);
+    const bool otherIncarnation
+            = backend.born != 0 && backend_.born != 0 && backend.born != backend_.born;
+    if (backend.id != backend_.id || otherIncarnation) {
+        remember(deregistered_, backend);
         return false;
     }
     if (state_ == BackendState::Draining) {
@@ -118,13 +121,15 @@
 
 bool BackendMonitor::onOtherIncarnation(const std::string &backend, TimePoint now)
 {
-    const auto isNamed = [&backend](const BackendIncarnation &life) { return life.id == backend; };
+    const auto isNamed = [&backend](const BackendIncarnation &incarnation) {
+        return incarnation.id == backend;
+    };
     if (isNamed(backend_) || std::any_of(ended_.begin(), ended_.end(), isNamed)) {
         return false;
     }
-    beginLife(backend);
-    evidence_ = BackendEvidence::OtherLife;
-    // It has not reported yet: until then nothing is known of it but its id.
+    beginIncarnation(backend);
+    evidence_ = BackendEvidence::OtherIncarnation;
+    // Only the id is known until the first report.
     state_ = leaving_ ? BackendState::Draining : BackendState::Absent;
     heardAt_ = now;
     return true;
@@ -163,7 +168,7 @@
     if (state_ != BackendState::Ready) {
         return false;
     }
-    evidence_ = BackendEvidence::Silence;
+    evidence_ = BackendEvidence::NoResponse;
     state_ = BackendState::Down;
     return true;
 }
--- a/src/decision/member/backend_monitor.h
+++ b/src/decision/member/backend_monitor.h
@@ -1,5 +1,5 @@
-/** @file backend_monitor.h Which life of the backend server beside this node is up, and how it is.
- */
+/** @file backend_monitor.h Tracks the current incarnation of the local backend server and its
+ * state. */
 
 #pragma once
 
@@ -11,32 +11,33 @@
 
 namespace wisteriahoist {
 
-/** What the present state of the backend server was concluded from. */
+/** The evidence on which the current state of the backend server is based. */
 enum class BackendEvidence {
     Nothing,
     Report,
     Deregistration,
-    OtherLife,          ///< Its address answered for another life.
-    RefusedConnections, ///< In a row.
-    Answer,             ///< To a request or an order, after it was taken for down.
-    Silence,
+    OtherIncarnation,   ///< Another incarnation answered at its address.
+    RefusedConnections, ///< Several in succession.
+    Answer,             ///< Answered a request or control call after it was down.
+    NoResponse,
 };
 
 std::string_view backendEvidenceName(BackendEvidence evidence);
 
-/** Bounds of the monitor. */
+/** Limits of the monitor. */
 struct MonitorLimits {
-    /** Refused connections in a row after which it counts as down; the second rules out a listener
-     *  that restarts. */
+    /** Consecutive refused connections after which it is considered down; a single one may be due
+     *  to a listener that restarts. */
     uint32_t refusals = 2;
-    /** Lives that are remembered as ended; late reports of older ones have long arrived. */
-    size_t endedLives = 16;
+    /** Number of ended incarnations that are remembered; late reports of older ones are no longer
+     *  in transit. */
+    size_t endedIncarnations = 16;
 };
 
 /**
- * Follows the backend server beside the node from its own reports and from what connections to it
- * show. Reports may arrive late, also after a crash and after the next life's first report, so a
- * life that has ended stays ended.
+ * Tracks the local backend server by its reports and by the results of connections to it. Reports
+ * may arrive late, even after a crash and after the first report of the next incarnation;
+ * therefore an incarnation that has ended never becomes current again.
  */
 class BackendMonitor
 {
@@ -44,83 +45,87 @@
     explicit BackendMonitor(MonitorLimits limits) : limits_(limits) { }
 
     /**
-     * A report of an earlier life, or an older one of this life, changes nothing.
-     * @return Whether state or life has changed.
+     * Ignores reports of earlier incarnations and outdated reports of the current one.
+     * @return Whether the state or the incarnation has changed.
      */
     bool onReport(const BackendReport &report, TimePoint now);
 
     /**
-     * The backend server has said that it leaves for good. A life that is not known here yet (this
-     * node has just started) is remembered as leaving: the acknowledgement binds all the same.
+     * The backend server has announced its shutdown. An incarnation that is not known yet (because
+     * this node has just started) is remembered as leaving, since its deregistration is
+     * acknowledged and no request may reach it afterwards.
      * @return Whether anything changed.
      */
     bool onDeregister(const BackendIncarnation &backend);
 
-    /** Its address answered for another life, or an order named one. @return As above. */
+    /** Another incarnation answered at its address or was named in a response.
+     *  @return Whether anything changed. */
     bool onOtherIncarnation(const std::string &backend, TimePoint now);
 
     /**
-     * A connection to its address was refused: it has ended, or lives and has too many of them. One
-     * that still works lives. Nothing is known of its keys by that; only their grants' end tells
-     * that it holds them no more.
-     * @return Whether it counts as down by it.
+     * A connection to its address was refused: it has ended, or it is alive and has too many
+     * connections. While it runs requests it is alive. A refusal does not prove that it has
+     * released its keys; only the expiry of their grants does.
+     * @return Whether it is now considered down.
      */
     bool onRefusedConnection();
 
-    /** @param isWorking Tells whether requests are at work at the backend server now. */
+    /** @param isWorking Returns whether the backend server is running requests now. */
     void setBusyCheck(std::function<bool()> isWorking) { isWorking_ = std::move(isWorking); }
 
-    /** A request or an order was answered. @return Whether a silent one is back. */
+    /** It answered a request or a control call. @return Whether it was down and is up again. */
     bool onAnswer(TimePoint now);
 
-    /** Nothing has answered for long: take it as Down until it answers or reports again. */
+    /** It has not answered within the timeout: considered Down until it answers or reports again.
+     */
     bool onNoResponse();
 
     BackendState state() const { return state_; }
     const BackendIncarnation &backend() const { return backend_; }
 
-    /** @return Whether @p report is the newest one, of the present life. */
+    /** @return Whether @p report is the newest one of the current incarnation. */
     bool isNewest(const BackendReport &report) const
     {
         return report.backend == backend_ && report.sequence == sequence_;
     }
 
-    /** @return Whether the present life has reported; else only its id is known. */
+    /** @return Whether the current incarnation has reported; otherwise only its id is known. */
     bool hasReported() const { return sequence_ > 0; }
     uint32_t slots() const { return slots_; }
     const std::string &service() const { return service_; }
     TimePoint heardAt() const { return heardAt_; }
 
-    /** @return Whether it is down since its address refuses connections. */
+    /** @return Whether it is down because its address refuses connections. */
     bool refusesConnections() const { return refusing_; }
 
     BackendEvidence evidence() const { return evidence_; }
 
-    /** @return Connections that its address refused, over all lives. */
+    /** @return Number of refused connections, over all incarnations. */
     uint64_t refusedConnections() const { return refusedConnections_; }
 
 private:
-    void beginLife(const BackendIncarnation &backend);
-    void endLife();
-    void remember(std::deque<BackendIncarnation> &lives, const BackendIncarnation &backend) const;
+    void beginIncarnation(const BackendIncarnation &backend);
+    void endIncarnation();
+    void remember(std::deque<BackendIncarnation> &incarnations,
+                  const BackendIncarnation &backend) const;
     bool hasEnded(const BackendIncarnation &backend) const;
-    bool isDeparting(const BackendIncarnation &backend) const;
+    bool isDeregistered(const BackendIncarnation &backend) const;
 
     MonitorLimits limits_;
     BackendIncarnation backend_;
     std::string service_;
     BackendState state_ = BackendState::Absent;
-    BackendEvidence evidence_ = BackendEvidence::Nothing; ///< Of the latest change.
+    BackendEvidence evidence_ = BackendEvidence::Nothing; ///< For the latest change.
     uint32_t slots_ = 0;
     uint64_t sequence_ = 0;
-    uint32_t refusals_ = 0; ///< In a row.
+    uint32_t refusals_ = 0; ///< Consecutive refused connections.
     uint64_t refusedConnections_ = 0;
     bool refusing_ = false;
-    bool leaving_ = false; ///< Deregistered or draining; only a new life ends that.
+    bool leaving_ = false; ///< Deregistered or draining; reset only by a new incarnation.
     TimePoint heardAt_ = NeverTime;
-    std::function<bool()> isWorking_; ///< Empty: nobody can tell.
+    std::function<bool()> isWorking_; ///< Empty: not known.
     std::deque<BackendIncarnation> ended_;
-    std::deque<BackendIncarnation> departing_; ///< Lives that said so before they were known here.
+    std::deque<BackendIncarnation> deregistered_; ///< Deregistered before they were known here.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/member/feeder_choice.cpp
+++ b/src/decision/member/feeder_choice.cpp
@@ -1,4 +1,4 @@
-/** @file feeder_choice.cpp Which nodes watch the store for all, and whom a node follows. */
+/** @file feeder_choice.cpp Chooses the nodes that watch the store on behalf of others. */
 
 #include "decision/member/feeder_choice.h"
 
@@ -16,8 +16,7 @@
     return hashKey(std::to_string(node.value()), seed).value();
 }
 
-/** @return The feeders of a fleet, the strongest first. @param isUsable Whose place nobody takes.
- */
+/** @return The feeders of a fleet, strongest first. @param isUsable Whether a node may be one. */
 std::vector<const MemberRecord *> findFeeders(const std::map<NodeId, MemberRecord> &members,
                                               const std::function<bool(NodeId)> &isUsable,
                                               const FeederLimits &limits)
@@ -51,7 +50,7 @@
                                    const std::function<bool(NodeId)> &isUsable,
                                    const FeederLimits &limits)
 {
-    if (members.size() < limits.leastMembers) {
+    if (members.size() < limits.minMembers) {
         return std::nullopt;
     }
     const MemberRecord *best = nullptr;
--- a/src/decision/member/member_type.h
+++ b/src/decision/member/member_type.h
@@ -1,4 +1,4 @@
-/** @file member_type.h What each node publishes of itself and of the backend server beside it. */
+/** @file member_type.h The record that each node publishes, and reports of backend servers. */
 
 #pragma once
 
@@ -13,42 +13,42 @@
 
 namespace wisteriahoist {
 
-/** What a node says of the backend server beside it. */
+/** State of a backend server as published by its node. */
 enum class BackendState {
-    Absent,   ///< None has announced itself yet.
-    Ready,    ///< Takes requests.
-    Draining, ///< Leaving: takes no new requests.
-    Down,     ///< It crashed, or has fallen silent.
+    Absent,   ///< None has registered yet.
+    Ready,    ///< Accepts requests.
+    Draining, ///< Leaving: accepts no new requests.
+    Down,     ///< Crashed or not responding.
 };
 
-/** One node and the backend server beside it, as the node itself has published it. */
+/** One node and its local backend server, as published by the node itself. */
 struct MemberRecord {
     NodeId node;
-    std::string name; ///< For people; from the node's settings.
-    Incarnation life; ///< Of the node's process.
-    std::string ip;   ///< Of the node's listener for other nodes.
+    std::string name; ///< Display name from the node's settings.
+    Incarnation life; ///< Incarnation of the node's process.
+    std::string ip;   ///< Address of the node's listener for other nodes.
     uint16_t peerPort = 0;
     std::string failureDomain;
-    std::string service;        ///< Of the backend server.
+    std::string service;        ///< Service of the backend server.
     BackendIncarnation backend; ///< Empty while Absent.
     BackendState state = BackendState::Absent;
-    uint32_t slots = 0;    ///< Requests that the backend server runs at once.
-    bool stopping = false; ///< The node's process has been told to end.
-    double cpuShare = 0;   ///< Of a core, that the node may use; 0: not known.
+    uint32_t slots = 0;    ///< Requests that the backend server runs concurrently.
+    bool stopping = false; ///< The node's process is shutting down.
+    double cpuShare = 0;   ///< CPU cores that the node may use; 0: not known.
     bool operator==(const MemberRecord &) const = default;
 
-    bool takesRequests() const { return state == BackendState::Ready && !stopping; }
+    bool acceptsRequests() const { return state == BackendState::Ready && !stopping; }
 };
 
-/** A heartbeat of a backend server, as its node received it. */
+/** A heartbeat of a backend server, as received by its node. */
 struct BackendReport {
     BackendIncarnation backend;
     std::string service;
     BackendState state = BackendState::Ready;
     uint32_t slots = 0;
-    milliseconds warmUpLeft{0};            ///< How much longer it stays slow after its start.
-    uint64_t sequence = 0;                 ///< Rises with each report of one life.
-    std::optional<HeldKeysReport> holding; ///< Nothing if its service is not divided by key.
+    milliseconds warmUpLeft{0};            ///< Remaining time of slow responses after its start.
+    uint64_t sequence = 0;                 ///< Increases with each report of one incarnation.
+    std::optional<HeldKeysReport> holding; ///< Empty if its service is not sharded.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/member/report_check.cpp
+++ b/src/decision/member/report_check.cpp
@@ -1,4 +1,4 @@
-/** @file report_check.cpp Which heartbeats a node believes. */
+/** @file report_check.cpp Validates heartbeats of backend servers. */
 
 #include "decision/member/report_check.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The present life stays believed when its service leaves the configuration. */
+/** The current incarnation stays accepted when its service is removed from the configuration. */
 bool isOfUnknownService(const BackendReport &report, const BackendIncarnation &present,
                         const RouteTable &routes)
 {
@@ -15,8 +15,8 @@
     return !known && configured && routes.findService(report.service) == nullptr;
 }
 
-/** Without its start a life cannot be told from an earlier one of the same id. */
-bool concealsItsStart(const BackendReport &report, const BackendIncarnation &present)
+/** Without a start time an incarnation can't be distinguished from earlier ones with its id. */
+bool isMissingStart(const BackendReport &report, const BackendIncarnation &present)
 {
     return report.backend.born == 0 && present.born != 0;
 }
@@ -27,10 +27,12 @@
                                    const RouteTable &routes)
 {
     if (isOfUnknownService(report, present, routes)) {
-        return Failure{FailureCode::Malformed, "heartbeat.service: not in the configuration"};
+        return Failure{FailureCode::Malformed,
+                       "heartbeat.service: service is not in the configuration"};
     }
-    if (concealsItsStart(report, present)) {
-        return Failure{FailureCode::Malformed, "heartbeat.born: missing, earlier ones had it"};
+    if (isMissingStart(report, present)) {
+        return Failure{FailureCode::Malformed,
+                       "heartbeat.born: missing, but present in earlier heartbeats"};
     }
     return std::nullopt;
 }
--- a/src/decision/member/report_check.h
+++ b/src/decision/member/report_check.h
@@ -1,6 +1,4 @@
-/** @file report_check.h Which heartbeats a node believes; anybody who reaches its port may send
- * one.
- */
+/** @file report_check.h Validates heartbeats, which any process that reaches the port may send. */
 
 #pragma once
 
@@ -13,12 +11,12 @@
 namespace wisteriahoist {
 
 /**
- * Decides on a heartbeat before it changes anything. A foreign writer's heartbeat that was believed
- * would end the life that is there, and its keys and requests with it.
- * @param present The life that the node knows as the one beside it; empty if none.
- * @param routes The configuration in force. Before the first one every service is believed, or a
- *        node that starts while the store is away would have no backend server.
- * @return Why @p report is refused; nothing if it is to be taken.
+ * Validates a heartbeat before it takes effect. An accepted heartbeat of a foreign process would
+ * replace the current incarnation, which would lose its keys and requests.
+ * @param present The current incarnation of the local backend server; empty if none.
+ * @param routes The current configuration. Before the first one any service is accepted; otherwise
+ *        a node that starts while the store is unavailable would have no backend server.
+ * @return Why @p report is rejected; nothing if it is accepted.
  */
 std::optional<Failure> checkReport(const BackendReport &report, const BackendIncarnation &present,
                                    const RouteTable &routes);
--- a/src/decision/placement/balanced_placement.cpp
+++ b/src/decision/placement/balanced_placement.cpp
@@ -1,4 +1,4 @@
-/** @file balanced_placement.cpp The placement policy that is shipped. */
+/** @file balanced_placement.cpp The default placement policy. */
 
 #include "decision/placement/balanced_placement.h"
 
--- a/src/decision/placement/balanced_placement.h
+++ b/src/decision/placement/balanced_placement.h
@@ -1,4 +1,4 @@
-/** @file balanced_placement.h The placement policy that is shipped. */
+/** @file balanced_placement.h The default placement policy. */
 
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace wisteriahoist {
 
-/** Even load by few moves; one ServicePlacement, with its memory, for each service. */
+/** Balances load with few moves; keeps one stateful ServicePlacement per service. */
 class BalancedPlacement : public PlacementPolicy
 {
 public:
@@ -17,7 +17,7 @@
 
     std::vector<PlacementStep> decide(const PlacementInput &input, TimePoint now) override;
 
-    /** @return What the service's last decision saw; the default if there was none. */
+    /** @return The summary of the service's last decision; the default if there was none. */
     PlacementSummary summary(const std::string &service) const;
 
 private:
--- a/src/decision/placement/destination_index.cpp
+++ b/src/decision/placement/destination_index.cpp
@@ -1,4 +1,4 @@
-/** @file destination_index.cpp Finds the instance that has most room, domains kept even. */
+/** @file destination_index.cpp Finds the least loaded instance, balanced over failure domains. */
 
 #include "decision/placement/destination_index.h"
 
@@ -6,22 +6,22 @@
 
 namespace {
 
-/** Weight of the failure domain's load beside the instance's own: decides among near equals. */
+/** Weight of the domain's load relative to the instance's: decides between similar instances. */
 constexpr double DomainWeight = 0.05;
-constexpr int CandidatesTried = 8; ///< In each domain; bounds the cost of one search.
+constexpr int CandidatesTried = 8; ///< Per domain; limits the cost of one search.
 
 } // namespace
 
 DestinationIndex::DestinationIndex(PlacementModel &model, const Filter &usable)
     : model_(model), domains_(model.domainCount()), domainLoad_(model.domainCount(), 0.0),
-      domainCapacity_(model.domainCount(), 0.0), held_(model.instances().size(), false)
+      domainCapacity_(model.domainCount(), 0.0), indexed_(model.instances().size(), false)
 {
-    for (uint32_t index = 0; index < held_.size(); ++index) {
+    for (uint32_t index = 0; index < indexed_.size(); ++index) {
         const InstanceState &instance = model.instances()[index];
         domainLoad_[instance.domain] += instance.load;
         domainCapacity_[instance.domain] += instance.capacity;
-        held_[index] = instance.capacity > 0 && usable(instance);
-        if (held_[index]) {
+        indexed_[index] = instance.capacity > 0 && usable(instance);
+        if (indexed_[index]) {
             insert(index);
         }
     }
@@ -72,7 +72,7 @@
 
 void DestinationIndex::remove(uint32_t instance)
 {
-    if (held_[instance]) {
+    if (indexed_[instance]) {
         const InstanceState &state = model_.instances()[instance];
         domains_[state.domain].erase({state.relative(), instance});
     }
@@ -80,7 +80,7 @@
 
 void DestinationIndex::insert(uint32_t instance)
 {
-    if (held_[instance]) {
+    if (indexed_[instance]) {
         const InstanceState &state = model_.instances()[instance];
         domains_[state.domain].insert({state.relative(), instance});
     }
--- a/src/decision/placement/destination_index.h
+++ b/src/decision/placement/destination_index.h
@@ -1,4 +1,4 @@
-/** @file destination_index.h Finds the instance that has most room, domains kept even. */
+/** @file destination_index.h Finds the least loaded instance, balanced over failure domains. */
 
 #pragma once
 
@@ -10,8 +10,8 @@
 namespace wisteriahoist {
 
 /**
- * Instances that may get ranges, by relative load, one ordered set for each failure domain.
- * Invariant: holds exactly the instances with capacity for which the constructor's filter held.
+ * Possible destinations of ranges, sorted by relative load in one ordered set per failure domain.
+ * Invariant: contains exactly the instances with capacity that passed the constructor's filter.
  */
 class DestinationIndex
 {
@@ -20,10 +20,11 @@
 
     DestinationIndex(PlacementModel &model, const Filter &usable);
 
-    /** @return The least loaded instance that @p accepts; NoInstance if none of the first few. */
+    /** @return The least loaded instance for which @p accepts returns true; NoInstance if it does
+     *  for none of the first few of each failure domain. */
     uint32_t find(const Filter &accepts) const;
 
-    /** Moves range @p index to instance @p to in the model and keeps the order. */
+    /** Moves range @p index to instance @p to in the model and updates the order. */
     void place(size_t index, uint32_t to);
 
 private:
@@ -36,7 +37,7 @@
     std::vector<std::set<Entry>> domains_;
     std::vector<double> domainLoad_;
     std::vector<double> domainCapacity_;
-    std::vector<bool> held_;
+    std::vector<bool> indexed_; ///< By instance: whether it is in domains_.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/placement/hot_key_sketch.cpp
+++ b/src/decision/placement/hot_key_sketch.cpp
@@ -1,4 +1,4 @@
-/** @file hot_key_sketch.cpp The hottest keys of a stream in bounded memory (space-saving). */
+/** @file hot_key_sketch.cpp Finds the hottest keys in bounded memory (Space-Saving algorithm). */
 
 #include "decision/placement/hot_key_sketch.h"
 
--- a/src/decision/placement/hot_key_sketch.h
+++ b/src/decision/placement/hot_key_sketch.h
@@ -1,4 +1,4 @@
-/** @file hot_key_sketch.h The hottest keys of a stream in bounded memory (space-saving). */
+/** @file hot_key_sketch.h Finds the hottest keys in bounded memory (Space-Saving algorithm). */
 
 #pragma once
 
@@ -9,30 +9,30 @@
 
 namespace wisteriahoist {
 
-/** A key with its weighted count and by how much that count may be too high. */
+/** A key, its weighted count and the maximum error of that count. */
 struct SketchEntry {
     KeyHash hash;
     double count = 0;
-    double error = 0; ///< The true count lies in [count - error, count].
+    double error = 0; ///< The true count is in [count - error, count].
 };
 
 /**
- * Space-saving over weighted events: a key that is not held takes the place, and the count, of the
- * smallest one. So every key with more than total/capacity of the weight is held.
- * Invariant: heap_ is a min-heap by count; position_[hash] is the key's index in heap_.
+ * Space-Saving with weighted events: a key that is not tracked replaces the one with the smallest
+ * count and inherits that count. So each key with more than total/capacity of the weight is
+ * tracked. Invariant: heap_ is a min-heap by count; position_[hash] is the key's index in heap_.
  */
 class HotKeySketch
 {
 public:
     explicit HotKeySketch(size_t capacity);
 
-    /** Counts one event of @p weight; logarithmic in the capacity. */
+    /** Counts one event with @p weight. Complexity: logarithmic in the capacity. */
     void add(KeyHash hash, double weight);
 
-    /** Multiplies every count, when the weights' scale is set back. */
+    /** Multiplies all counts by @p factor, to rescale the weights. */
     void scale(double factor);
 
-    /** @return The @p limit entries with the highest count, highest first. */
+    /** @return Up to @p limit entries with the highest counts, highest first. */
     std::vector<SketchEntry> top(size_t limit) const;
 
 private:
--- a/src/decision/placement/load_tracker.cpp
+++ b/src/decision/placement/load_tracker.cpp
@@ -1,4 +1,4 @@
-/** @file load_tracker.cpp What one node counts of its own requests. */
+/** @file load_tracker.cpp Measures load per range and hot keys from a node's own requests. */
 
 #include "decision/placement/load_tracker.h"
 
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr milliseconds WeightStep{5};   ///< The weight is computed anew at most this often.
-constexpr double HighestExponent = 40;  ///< Weights are set back beyond e^40, far below overflow.
+constexpr milliseconds WeightStep{5};   ///< Minimum time between two computations of the weight.
+constexpr double MaxExponent = 40;      ///< Weights are rescaled above e^40, far below overflow.
 constexpr double NegligibleRate = 0.01; ///< Requests per second below which a range is dropped.
-constexpr double ShortestAge = 0.2; ///< Share of the decay; a younger count is not extrapolated.
+constexpr double MinAge = 0.2; ///< Share of the decay; limits the extrapolation of young counts.
 
 double toSeconds(Duration duration)
 {
@@ -36,8 +36,8 @@
         return weight_;
     }
     const double exponent = toSeconds(now - origin_) / toSeconds(settings_.decay);
-    if (exponent > HighestExponent) {
-        setBack(exponent);
+    if (exponent > MaxExponent) {
+        rescale(exponent);
         origin_ = now;
         weight_ = 1;
     } else {
@@ -47,7 +47,7 @@
     return weight_;
 }
 
-void LoadTracker::setBack(double exponent)
+void LoadTracker::rescale(double exponent)
 {
     const double factor = std::exp(-exponent);
     keys_.scale(factor);
@@ -74,7 +74,7 @@
     const double unit = weightAt(now) * decay;
     LoadReport report;
     for (auto entry = ranges_.begin(); entry != ranges_.end();) {
-        const double age = std::max(toSeconds(now - entry->second.since) / decay, ShortestAge);
+        const double age = std::max(toSeconds(now - entry->second.since) / decay, MinAge);
         const double rate = entry->second.weighted / unit / (1 - std::exp(-age));
         if (rate < NegligibleRate) {
             entry = ranges_.erase(entry);
@@ -87,10 +87,12 @@
     std::sort(
             report.ranges.begin(), report.ranges.end(),
             [](const SliceLoad &left, const SliceLoad &right) { return left.first < right.first; });
-    // A tracker that has just begun would report its keys too cold beside its ranges.
-    const double age = std::max(toSeconds(now - started_) / decay, ShortestAge);
+    // Without this correction a new tracker would report key rates that are too low compared to
+    // those of ranges.
+    const double age = std::max(toSeconds(now - started_) / decay, MinAge);
     const double keyUnit = unit * (1 - std::exp(-age));
-    // The lower end of a key's count: an upper end would isolate keys that are not hot.
+    // Uses the lower bound of a key's count: with the upper bound, keys would be isolated that
+    // aren't hot.
     for (const SketchEntry &entry : keys_.top(settings_.reportedKeys)) {
         const double rate = (entry.count - entry.error) / keyUnit;
         if (rate >= NegligibleRate) {
--- a/src/decision/placement/load_tracker.h
+++ b/src/decision/placement/load_tracker.h
@@ -1,4 +1,4 @@
-/** @file load_tracker.h What one node counts of its own requests: load per range, hottest keys. */
+/** @file load_tracker.h Measures load per range and hot keys from a node's own requests. */
 
 #pragma once
 
@@ -9,24 +9,24 @@
 
 namespace wisteriahoist {
 
-/** Bounds of what a node counts and reports. */
+/** Limits of what a node counts and reports. */
 struct LoadTrackerSettings {
-    Duration decay = std::chrono::seconds(5); ///< Time constant: older requests fade out.
-    size_t trackedKeys = 256;                 ///< Keys held at once.
-    size_t reportedKeys = 8;                  ///< Keys in a report: about 130 bytes.
-    size_t trackedRanges = 4096; ///< Ranges held at once; further ones are not counted.
+    Duration decay = std::chrono::seconds(5); ///< Time constant of the decay of older requests.
+    size_t trackedKeys = 256;                 ///< Maximum number of keys.
+    size_t reportedKeys = 8;                  ///< Keys per report; about 130 bytes.
+    size_t trackedRanges = 4096;              ///< Maximum number of ranges; others aren't counted.
 };
 
-/** A node's report for the placement decision. */
+/** A node's load report for the placement decision. */
 struct LoadReport {
-    std::vector<SliceLoad> ranges; ///< Sorted by first; those without requests are left out.
+    std::vector<SliceLoad> ranges; ///< Sorted by first; without idle ranges.
     std::vector<HotKey> hotKeys;   ///< Hottest first.
-    double requestsPerSecond = 0;  ///< Over all ranges.
+    double requestsPerSecond = 0;  ///< Total of all ranges.
 };
 
 /**
- * Counts with forward decay: an event's weight grows with its time, so that old counts need no
- * update; only a report divides by the present weight. Used by one thread, on the request's path.
+ * Counts with forward decay: the weight of an event increases with its time, so old counts need no
+ * update; only a report divides by the current weight. Used by one thread, in the request path.
  */
 class LoadTracker
 {
@@ -42,17 +42,17 @@
 private:
     struct RangeCount {
         double weighted = 0;
-        TimePoint since; ///< First request; a range that is new here is not counted too low.
+        TimePoint since; ///< First request; corrects the rate of a range that is new here.
     };
 
     double weightAt(TimePoint now);
-    void setBack(double exponent);
+    void rescale(double exponent);
 
     LoadTrackerSettings settings_;
     HotKeySketch keys_;
     std::unordered_map<KeyHash, RangeCount> ranges_;
-    TimePoint started_ = NeverTime;    ///< First request of all.
-    TimePoint origin_ = NeverTime;     ///< Weight 1.
+    TimePoint started_ = NeverTime;    ///< First request.
+    TimePoint origin_ = NeverTime;     ///< Time at which the weight is 1.
     TimePoint weightTime_ = NeverTime; ///< Time for which weight_ holds.
     double weight_ = 1;
 };
--- a/src/decision/placement/placement_model.cpp
+++ b/src/decision/placement/placement_model.cpp
@@ -1,4 +1,4 @@
-/** @file placement_model.cpp The state that one placement decision works on. */
+/** @file placement_model.cpp The state on which placement decisions operate. */
 
 #include "decision/placement/placement_model.h"
 
@@ -12,10 +12,10 @@
 
 constexpr double KeySpace = 18446744073709551616.0; ///< 2^64.
 
-/** @return The share of the key space from @p first up to the next range, or to its end. */
+/** @return The share of the key space from @p first to the next range or to the end. */
 double widthBetween(KeyHash first, const KeyHash *next)
 {
-    const uint64_t end = next == nullptr ? 0 : next->value(); // 0 wraps round to 2^64.
+    const uint64_t end = next == nullptr ? 0 : next->value(); // 0 stands for 2^64.
     const uint64_t points = end - first.value();
     return points == 0 ? 1.0 : static_cast<double>(points) / KeySpace;
 }
@@ -25,7 +25,7 @@
     return next == nullptr ? first.value() == UINT64_MAX : next->value() - first.value() == 1;
 }
 
-/** @return How much of @p range lies in [@p from, @p to) (a null @p to: up to the end). */
+/** @return The share of [@p otherFrom, @p otherTo) that is in [@p from, @p to); null: the end. */
 double overlapShare(KeyHash from, const KeyHash *to, KeyHash otherFrom, const KeyHash *otherTo)
 {
     const KeyHash start = std::max(from, otherFrom);
@@ -49,7 +49,7 @@
     readInstances(input.instances);
     readTable(input.table, now);
     readLoads(input.loads, input.instances, now);
-    sumUp();
+    updateTotals();
     refreshedAt_ = now;
 }
 
@@ -95,7 +95,7 @@
             range.measured = old[cursor].measured;
             range.reshapedAt = now;
         }
-        // Old and new borders may differ: a change that was asked for has not been carried out.
+        // Old and new boundaries may differ because a requested change has not been carried out.
         range.load = 0;
         for (size_t part = cursor; part < old.size(); ++part) {
             if (next != nullptr && old[part].first >= *next) {
@@ -142,21 +142,21 @@
         owning[owner->second] = true;
         const Duration age = views[owner->second].reportAge;
         const TimePoint changed = std::max(range.movedAt, range.reshapedAt);
-        // Just after a change the report is about the range as it was, or counts from nothing:
-        // believed at once, a moved hot range would look idle and more would be moved after it.
+        // Soon after a change the report is still about the previous range, or has only just begun
+        // to count: if it were used, a moved hot range would look idle and attract more ranges.
         const bool settled = now - changed > settings_.settle + age;
         if (age > settings_.staleAfter || !settled) {
             continue;
         }
         const bool found = cursor < sorted.size() && sorted[cursor].first == range.first;
-        believe(range, found ? std::max(0.0, sorted[cursor].requestsPerSecond) : 0.0, now);
+        updateLoad(range, found ? std::max(0.0, sorted[cursor].requestsPerSecond) : 0.0, now);
     }
     for (size_t index = 0; index < instances_.size(); ++index) {
         instances_[index].known = !owning[index] || views[index].reportAge <= settings_.staleAfter;
     }
 }
 
-void PlacementModel::believe(RangeState &range, double reported, TimePoint now) const
+void PlacementModel::updateLoad(RangeState &range, double reported, TimePoint now) const
 {
     if (!std::isfinite(reported)) {
         return;
@@ -166,13 +166,13 @@
         range.measured = true;
         return;
     }
-    // Falls slowly: an instance that reports too little would draw more ranges at once.
+    // Decreases slowly: otherwise an instance that reports too little would get ranges at once.
     const double elapsed = std::chrono::duration<double>(now - refreshedAt_).count();
     const double fall = std::chrono::duration<double>(settings_.loadFall).count();
     range.load = std::max(reported, range.load * std::exp(-elapsed / fall));
 }
 
-void PlacementModel::sumUp()
+void PlacementModel::updateTotals()
 {
     double measured = 0;
     for (const RangeState &range : ranges_) {
@@ -217,21 +217,21 @@
     instances_[to].width += range.width;
 }
 
-void PlacementModel::cut(const std::vector<KeyHash> &borders, const std::vector<HotKey> &keys,
-                         TimePoint now)
+void PlacementModel::split(const std::vector<KeyHash> &boundaries, const std::vector<HotKey> &keys,
+                           TimePoint now)
 {
     std::vector<RangeState> result;
-    result.reserve(ranges_.size() + borders.size());
-    auto border = borders.begin();
+    result.reserve(ranges_.size() + boundaries.size());
+    auto boundary = boundaries.begin();
     auto key = keys.begin();
     for (size_t index = 0; index < ranges_.size(); ++index) {
         const RangeState whole = ranges_[index];
         const KeyHash *next = firstAfter(ranges_, index);
         const size_t begin = result.size();
         result.push_back(whole);
-        for (; border != borders.end() && (next == nullptr || *border < *next); ++border) {
+        for (; boundary != boundaries.end() && (next == nullptr || *boundary < *next); ++boundary) {
             result.push_back(whole);
-            result.back().first = *border;
+            result.back().first = *boundary;
         }
         if (result.size() == begin + 1) {
             continue;
@@ -259,7 +259,7 @@
     ranges_ = std::move(result);
 }
 
-void PlacementModel::join(size_t index, TimePoint now)
+void PlacementModel::merge(size_t index, TimePoint now)
 {
     RangeState &range = ranges_[index];
     size_t before = index - 1;
@@ -273,7 +273,7 @@
     range.width = 0;
 }
 
-void PlacementModel::dropJoined()
+void PlacementModel::dropMerged()
 {
     std::erase_if(ranges_, [](const RangeState &range) { return range.width == 0; });
 }
--- a/src/decision/placement/placement_model.h
+++ b/src/decision/placement/placement_model.h
@@ -1,4 +1,4 @@
-/** @file placement_model.h The state that one placement decision works on. */
+/** @file placement_model.h The state on which placement decisions operate. */
 
 #pragma once
 
@@ -9,64 +9,65 @@
 
 namespace wisteriahoist {
 
-inline constexpr uint32_t NoInstance = UINT32_MAX; ///< The range's owner is lost or absent.
+inline constexpr uint32_t NoInstance = UINT32_MAX; ///< The range has no live owner.
 
-/** One range, its estimated load, and what was done with it lately. */
+/** One range, its estimated load and its latest changes. */
 struct RangeState {
     KeyHash first;
-    NodeId owner;                       ///< By the table.
-    uint32_t instance = NoInstance;     ///< Index of the instance that carries it, moves included.
+    NodeId owner;                       ///< According to the table.
+    uint32_t instance = NoInstance;     ///< Index of its instance, including planned moves.
     double width = 0;                   ///< Share of the key space.
     double load = 0;                    ///< Estimated requests per second.
-    bool measured = false;              ///< A report for it was believed at least once.
-    TimePoint movedAt = NeverTime;      ///< Its owner changed.
-    TimePoint reshapedAt = NeverTime;   ///< Its borders changed.
-    NodeId pendingTo;                   ///< A move that was asked for and is not seen yet.
-    TimePoint pendingUntil = NeverTime; ///< The move is asked for again afterwards.
-    bool isolated = false;              ///< Holds one point of the key space only.
+    bool measured = false;              ///< The load is based on at least one report.
+    TimePoint movedAt = NeverTime;      ///< Last change of owner.
+    TimePoint reshapedAt = NeverTime;   ///< Last change of its boundaries.
+    NodeId pendingTo;                   ///< Destination of a requested, unconfirmed move.
+    TimePoint pendingUntil = NeverTime; ///< After this the move is requested again.
+    bool isolated = false;              ///< Contains a single point of the key space.
 };
 
-/** One instance and what it carries. */
+/** One instance and its load. */
 struct InstanceState {
     NodeId id;
     uint32_t domain = 0;  ///< Index of its failure domain.
-    double capacity = 0;  ///< In slots; 0 if it may get nothing.
-    double load = 0;      ///< Requests per second, prior included.
+    double capacity = 0;  ///< In slots; 0 if it may get no ranges.
+    double load = 0;      ///< Requests per second, including the prior.
     double width = 0;     ///< Share of the key space.
-    bool known = true;    ///< Its report is young enough, or it owns nothing.
+    bool known = true;    ///< Its report is recent enough, or it owns nothing.
     bool leaving = false; ///< Draining.
     double relative() const { return load / capacity; }
 };
 
-/** What is remembered of the ranges between two decisions, and the arithmetic on it. */
+/** State of ranges and instances that is kept between decisions, and operations on it. */
 class PlacementModel
 {
 public:
     explicit PlacementModel(PlacementSettings settings) : settings_(settings) { }
 
-    /** Takes over table, instances and reports; keeps estimates across moves and new borders. */
+    /** Updates table, instances and reports; keeps estimates after moves and new boundaries. */
     void refresh(const PlacementInput &input, TimePoint now);
 
-    /** Puts range @p index on instance @p to. */
+    /** Assigns range @p index to instance @p to. */
     void place(size_t index, uint32_t to);
 
-    /** Cuts ranges at @p borders (sorted, none a border yet); @p keys tells the isolated ones. */
-    void cut(const std::vector<KeyHash> &borders, const std::vector<HotKey> &keys, TimePoint now);
+    /** Splits ranges at @p boundaries (sorted, all new); @p keys has the loads of isolated keys. */
+    void split(const std::vector<KeyHash> &boundaries, const std::vector<HotKey> &keys,
+               TimePoint now);
 
-    /** Joins range @p index with the one before it. The ranges are compacted by dropJoined(). */
-    void join(size_t index, TimePoint now);
-    void dropJoined();
+    /** Merges range @p index into the preceding one; dropMerged() then removes the empty entry. */
+    void merge(size_t index, TimePoint now);
+    void dropMerged();
 
-    /** @return Load with the prior: what a range counts with. */
+    /** @return The load of a range including its share of the prior. */
     double weightOf(const RangeState &range) const { return range.load + range.width * prior_; }
 
-    /** @return Mean load of an instance with one unit of capacity. */
+    /** @return Mean load per unit of capacity. */
     double meanRelative() const { return capacity_ > 0 ? totalLoad_ / capacity_ : 0; }
 
-    /** @return The load that an average instance carries. */
+    /** @return Mean load per instance. */
     double meanInstance() const;
 
-    double totalLoad() const { return totalLoad_; } ///< Prior included.
+    double totalLoad() const { return totalLoad_; } ///< Including the prior.
     double totalCapacity() const { return capacity_; }
     std::vector<RangeState> &ranges() { return ranges_; }
     std::vector<InstanceState> &instances() { return instances_; }
@@ -77,15 +78,15 @@
     void readTable(const SliceTable &table, TimePoint now);
     void readLoads(const std::vector<SliceLoad> &loads, const std::vector<InstanceView> &views,
                    TimePoint now);
-    void believe(RangeState &range, double reported, TimePoint now) const;
-    void sumUp();
+    void updateLoad(RangeState &range, double reported, TimePoint now) const;
+    void updateTotals();
 
     PlacementSettings settings_;
     std::vector<RangeState> ranges_;            ///< Sorted by first.
-    std::vector<InstanceState> instances_;      ///< Same order as the input's instances.
+    std::vector<InstanceState> instances_;      ///< In the order of the input's instances.
     std::unordered_map<NodeId, uint32_t> byId_; ///< Live instances only.
     uint32_t domainCount_ = 0;
-    double prior_ = 0; ///< Rate over the whole key space that is assumed evenly spread.
+    double prior_ = 0; ///< Load that is assumed to be spread evenly over the key space.
     double totalLoad_ = 0;
     double capacity_ = 0;
     TimePoint refreshedAt_ = NeverTime;
--- a/src/decision/placement/placement_settings_type.h
+++ b/src/decision/placement/placement_settings_type.h
@@ -1,4 +1,4 @@
-/** @file placement_settings_type.h Bounds and times of the placement decision. */
+/** @file placement_settings_type.h Limits and intervals of the placement decision. */
 
 #pragma once
 
@@ -6,36 +6,38 @@
 
 namespace wisteriahoist {
 
-/** What bounds a decision. Shares are of the load that an average instance carries. */
+/** Limits of a decision. Shares are relative to the mean load per instance. */
 struct PlacementSettings {
-    Duration staleAfter = std::chrono::seconds(15); ///< An older report counts as unknown.
-    Duration settle = std::chrono::seconds(3);    ///< After a move or a split, reports are not yet
-                                                  ///< believed; the report's age is added.
-    Duration holdDown = std::chrono::seconds(10); ///< A moved range stays this long.
+    Duration staleAfter = std::chrono::seconds(15); ///< With an older report the load is unknown.
+    Duration settle = std::chrono::seconds(3);      ///< Plus the report's age: how long reports are
+                                                    ///< ignored after a move or a split.
+    Duration holdDown
+            = std::chrono::seconds(10); ///< A moved range is not moved again for this long.
     Duration balanceInterval = std::chrono::seconds(1); ///< Between two balancing decisions.
-    Duration moveTimeout = std::chrono::seconds(3); ///< A move not seen by then is asked for again.
-    Duration lossTimeout = std::chrono::milliseconds(300); ///< The same for a range without owner.
-    Duration loadFall = std::chrono::seconds(8);           ///< Time constant of a falling estimate.
-    Duration warmUp = std::chrono::seconds(6); ///< No balancing so soon after the first decision:
-    ///< estimates are few seconds' noise, and acting on them moves ranges for nothing.
-    uint32_t patience
-            = 3; ///< Decisions in a row that find an instance overloaded before it is relieved.
-    double tolerance = 0.075; ///< Overload that starts moves when the weights are equal.
-    double boundSlack = 1.5;  ///< Where the hottest key sets a bound above 1, others may reach it
-                              ///< up to this multiple of the mean: evening them out gains nothing.
-    double coldShare = 0.25;  ///< Part of its slots that a cold instance counts with.
-    double isolateShare = 0.10;    ///< A key with at least this load gets a range of its own.
-    double splitShare = 0.15;      ///< A wider range with more load than this is cut in two.
-    double coolShare = 0.02;       ///< An isolated key with less load than this is joined again.
-    double movesPerInstance = 0.5; ///< Balancing moves in one decision for each instance.
-    double moveLoadShare = 0.15;   ///< Share of the whole load that one decision may move.
-    double keySpaceFactor = 2.0;   ///< An instance takes at most this multiple of its fair share of
-                                 ///< the key space: bounds what a report of too little load draws.
-    double priorShare = 0.01;  ///< Load that is assumed evenly spread, as a share of all load.
-    double priorRate = 1.0;    ///< Least such load, requests per second for each instance.
-    double splitRanges = 16;   ///< Ranges for each instance above which none is cut for its load.
-    double isolateRanges = 24; ///< Ranges for each instance above which no key is isolated.
-    double mergeRanges = 32;   ///< Ranges for each instance above which cold neighbours are joined.
+    Duration moveTimeout = std::chrono::seconds(3); ///< An unconfirmed move is repeated after this.
+    Duration lossTimeout = std::chrono::milliseconds(300); ///< Same for a range without owner.
+    Duration loadFall = std::chrono::seconds(8); ///< Time constant of a decreasing estimate.
+    Duration warmUp = std::chrono::seconds(6);   ///< No balancing for this long after the first
+    ///< decision: estimates of a few seconds are noise, and cause useless moves.
+    uint32_t overloadedRounds
+            = 3; ///< Consecutive decisions with an overloaded instance until ranges leave it.
+    double tolerance = 0.075; ///< Relative overload that starts moves with equal weights.
+    double boundSlack = 1.5;  ///< If the hottest key makes an imbalance above 1 unavoidable, others
+                              ///< are tolerated up to it, but at most this multiple of the mean:
+                              ///< balancing them would not reduce the maximum.
+    double coldShare = 0.25;  ///< Share of a cold instance's slots that counts as capacity.
+    double isolateShare = 0.10;    ///< A key with at least this load gets its own range.
+    double splitShare = 0.15;      ///< A range of several keys with more load is split in two.
+    double coolShare = 0.02;       ///< An isolated key with less load is merged again.
+    double movesPerInstance = 0.5; ///< Balancing moves per decision and instance.
+    double moveLoadShare = 0.15;   ///< Share of the total load that one decision may move.
+    double keySpaceFactor = 2.0;   ///< An instance gets at most this multiple of its fair share of
+                                   ///< the key space: limits the effect of too low load reports.
+    double priorShare = 0.01;      ///< Load assumed to be spread evenly, as a share of the total.
+    double priorRate = 1.0;        ///< Minimum of that load, requests per second per instance.
+    double splitRanges = 16;       ///< Ranges per instance above which none is split for its load.
+    double isolateRanges = 24;     ///< Ranges per instance above which no key is isolated.
+    double mergeRanges = 32;       ///< Ranges per instance above which cold neighbours are merged.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/placement/placement_type.h
+++ b/src/decision/placement/placement_type.h
@@ -1,4 +1,4 @@
-/** @file placement_type.h What the placement decision sees and what it answers. */
+/** @file placement_type.h Input and result of the placement decision. */
 
 #pragma once
 
@@ -11,62 +11,62 @@
 
 namespace wisteriahoist {
 
-/** Load of one range as its owner measured it. */
+/** Load of one range as measured by its owner. */
 struct SliceLoad {
     KeyHash first; ///< The range's first point.
     double requestsPerSecond = 0;
 };
 
-/** One of the hottest keys of a node. */
+/** One of the hottest keys at a node. */
 struct HotKey {
     KeyHash hash;
     double requestsPerSecond = 0;
 };
 
-/** One instance of the service: a node and the backend server beside it. */
+/** One instance of the service: a node and its local backend server. */
 struct InstanceView {
     NodeId id;
     std::string failureDomain;
     uint32_t slots = 1;    ///< Capacity.
-    bool live = true;      ///< false: lost; its ranges must go elsewhere.
-    bool draining = false; ///< Gets no new ranges and gives its own away.
-    bool cold = false;     ///< Started a short while ago; gets little at first.
-    Duration reportAge{0}; ///< Age of the loads that it reported.
+    bool live = true;      ///< false: lost; its ranges must be moved.
+    bool draining = false; ///< Gets no new ranges, and its own are moved.
+    bool cold = false;     ///< Started recently; rated with a reduced capacity.
+    Duration reportAge{0}; ///< Age of its load report.
 };
 
-/** Weights of the three measures; shipped profiles for Poteglad and Kalahari. */
+/** Weights of the three measures; see placement_profiles.h for the profiles provided. */
 struct PlacementWeights {
     double imbalance = 1;
     double churn = 1;
     double unavailable = 1;
 };
 
-/** All that one decision for one service sees. */
+/** Input of one decision for one service. */
 struct PlacementInput {
     const SliceTable &table;
     const std::vector<SliceLoad> &loads;
     const std::vector<HotKey> &hotKeys;
     const std::vector<InstanceView> &instances;
     PlacementWeights weights;
-    std::string service = {}; ///< What a policy remembers belongs to one service.
+    std::string service = {}; ///< The policy keeps its state by service.
 };
 
-/** Why a step is taken. */
+/** Reason of a step. */
 enum class PlacementReason {
     OwnerLost,
     OwnerDraining,
     NoOwner,
-    Overload,   ///< The owner carries too much.
+    Overload,   ///< The owner is overloaded.
     HotKey,     ///< A key is isolated.
-    ColdRanges, ///< Neighbours of little load are joined.
+    ColdRanges, ///< Neighbours with little load are merged.
 };
 
-/** One step; steps are carried out in their order. */
+/** One step of a decision; steps are applied in order. */
 struct PlacementStep {
     enum class Kind {
-        Move,  ///< The range that begins at first goes to owner `to`.
-        Split, ///< A new range begins at first; owner and epoch are those of the range it cuts.
-        Merge, ///< The range that begins at first joins the one before it, which has the same
+        Move,  ///< Assigns the range that begins at first to owner `to`.
+        Split, ///< Splits a range at first; the new range keeps owner and epoch.
+        Merge, ///< Merges the range that begins at first into the preceding one, which has the same
                ///< owner.
     };
     Kind kind = Kind::Move;
@@ -75,15 +75,16 @@
     PlacementReason reason = PlacementReason::Overload;
 };
 
-/** Decides which ranges go where. Pure: the same input at the same time gives the same answer. */
+/** Decides on owners and boundaries of ranges. Deterministic: the result depends only on the
+ * sequence of calls. */
 class PlacementPolicy
 {
 public:
     virtual ~PlacementPolicy() = default;
 
     /**
-     * @return A small ordered list of steps; empty if the table is good as it is. Ranges whose
-     *         owner is lost, draining or absent come first.
+     * @return A short ordered list of steps; empty if no change is needed. Ranges whose owner is
+     *         lost, draining or absent come first.
      */
     virtual std::vector<PlacementStep> decide(const PlacementInput &input, TimePoint now) = 0;
 };
--- a/src/decision/placement/service_placement.cpp
+++ b/src/decision/placement/service_placement.cpp
@@ -1,4 +1,4 @@
-/** @file service_placement.cpp Even load by few moves, for one service. */
+/** @file service_placement.cpp Balances the load of one service with few moves. */
 
 #include "decision/placement/service_placement.h"
 
@@ -11,12 +11,12 @@
 
 constexpr double SmallestTolerance = 0.03;
 constexpr double LargestTolerance = 0.15;
-constexpr double StopShare = 0.8;       ///< Moves end at this share of the tolerance.
-constexpr double WorthwhileGain = 0.02; ///< Least relief, as a share of the mean, of a move that
-                                        ///< leaves its new owner above the mean.
-constexpr size_t LeastMoves = 4;        ///< Balancing moves in one decision, however few instances.
+constexpr double StopShare = 0.8;    ///< Moves stop at this share of the tolerance.
+constexpr double MinMoveGain = 0.02; ///< Minimum gain, as a share of the mean, of a move after
+                                     ///< which the new owner is above the mean.
+constexpr size_t MinMoveLimit = 4;   ///< Balancing moves allowed per decision with few instances.
 
-/** The more churn and unavailable time weigh, the more overload is borne before a move. */
+/** @return The tolerated overload; it increases with the weights of churn and unavailable time. */
 double toleranceOf(const PlacementSettings &settings, const PlacementWeights &weights)
 {
     const double cost = (weights.churn + weights.unavailable) / 2;
@@ -39,15 +39,15 @@
     if (model_.totalCapacity() <= 0 || model_.ranges().empty()) {
         return {};
     }
-    rehomeOrphans();
-    emptyDraining();
+    reassignOrphans();
+    reassignDraining();
     startedAt_ = startedAt_ == NeverTime ? now : startedAt_;
     const bool warm = now - startedAt_ >= settings_.warmUp;
     if (warm && now - balancedAt_ >= settings_.balanceInterval) {
         balancedAt_ = now;
-        reshape(input, now);
+        splitRanges(input, now);
         balance(input, now);
-        returnCooled(now);
+        returnCooledKeys(now);
         mergeCold(now);
     }
     summarize();
@@ -67,7 +67,7 @@
     summary_.movedWidth += state.width;
 }
 
-void ServicePlacement::rehome(PlacementReason reason, const std::vector<size_t> &ranges)
+void ServicePlacement::reassign(PlacementReason reason, const std::vector<size_t> &ranges)
 {
     if (ranges.empty()) {
         return;
@@ -81,7 +81,7 @@
     });
     for (const size_t range : order) {
         const double width = model_.ranges()[range].width;
-        // An instance that reports too little would draw every range of the lost one.
+        // Without this limit an instance that reports too little would get all of these ranges.
         uint32_t to = index.find([&](const InstanceState &instance) {
             const double fair = instance.capacity / model_.totalCapacity();
             return instance.width + width <= settings_.keySpaceFactor * fair;
@@ -94,7 +94,7 @@
     }
 }
 
-void ServicePlacement::rehomeOrphans()
+void ServicePlacement::reassignOrphans()
 {
     std::vector<size_t> lost;
     std::vector<size_t> absent;
@@ -104,11 +104,11 @@
             (range.owner == InvalidNode ? absent : lost).push_back(index);
         }
     }
-    rehome(PlacementReason::OwnerLost, lost);
-    rehome(PlacementReason::NoOwner, absent);
+    reassign(PlacementReason::OwnerLost, lost);
+    reassign(PlacementReason::NoOwner, absent);
 }
 
-void ServicePlacement::emptyDraining()
+void ServicePlacement::reassignDraining()
 {
     std::vector<size_t> leaving;
     for (size_t index = 0; index < model_.ranges().size(); ++index) {
@@ -117,7 +117,7 @@
             leaving.push_back(index);
         }
     }
-    rehome(PlacementReason::OwnerDraining, leaving);
+    reassign(PlacementReason::OwnerDraining, leaving);
 }
 
 void ServicePlacement::collectHotKeys(const PlacementInput &input)
@@ -139,7 +139,7 @@
     hotKeys_.erase(repeated, hotKeys_.end());
 }
 
-void ServicePlacement::reshape(const PlacementInput &input, TimePoint now)
+void ServicePlacement::splitRanges(const PlacementInput &input, TimePoint now)
 {
     collectHotKeys(input);
     const std::vector<RangeState> &ranges = model_.ranges();
@@ -151,7 +151,7 @@
     size_t isolateRoom = roomFor(settings_.isolateRanges);
     size_t splitRoom = roomFor(settings_.splitRanges);
     const double mean = model_.meanInstance();
-    std::vector<KeyHash> borders;
+    std::vector<KeyHash> boundaries;
     auto key = hotKeys_.begin();
     for (size_t index = 0; index < ranges.size(); ++index) {
         const RangeState &range = ranges[index];
@@ -164,47 +164,48 @@
         if (range.isolated || range.pendingTo != InvalidNode || !known) {
             continue;
         }
-        bool cut = false;
+        bool isSplit = false;
         for (auto hot = firstKey; hot != key && isolateRoom >= 2; ++hot) {
-            if (hot->hash != range.first && (borders.empty() || borders.back() != hot->hash)) {
-                borders.push_back(hot->hash);
+            if (hot->hash != range.first
+                && (boundaries.empty() || boundaries.back() != hot->hash)) {
+                boundaries.push_back(hot->hash);
             }
             const KeyHash after = hot->hash.next();
             if (after.value() != 0 && (next == nullptr || after < *next)) {
-                borders.push_back(after);
+                boundaries.push_back(after);
             }
             isolateRoom -= 2;
-            cut = true;
+            isSplit = true;
         }
-        if (cut || splitRoom == 0 || range.load < settings_.splitShare * mean) {
+        if (isSplit || splitRoom == 0 || range.load < settings_.splitShare * mean) {
             continue;
         }
         const uint64_t end = next == nullptr ? 0 : next->value();
-        borders.emplace_back(range.first.value() + (end - range.first.value() - 1) / 2 + 1);
+        boundaries.emplace_back(range.first.value() + (end - range.first.value() - 1) / 2 + 1);
         --splitRoom;
     }
-    if (borders.empty()) {
+    if (boundaries.empty()) {
         return;
     }
-    for (const KeyHash border : borders) {
+    for (const KeyHash boundary : boundaries) {
         const bool hot = std::binary_search(
-                hotKeys_.begin(), hotKeys_.end(), HotKey{border, 0},
+                hotKeys_.begin(), hotKeys_.end(), HotKey{boundary, 0},
                 [](const HotKey &left, const HotKey &right) { return left.hash < right.hash; });
-        steps_.push_back({PlacementStep::Kind::Split, border, InvalidNode,
+        steps_.push_back({PlacementStep::Kind::Split, boundary, InvalidNode,
                           hot ? PlacementReason::HotKey : PlacementReason::Overload});
     }
-    model_.cut(borders, hotKeys_, now);
+    model_.split(boundaries, hotKeys_, now);
 }
 
 void ServicePlacement::balance(const PlacementInput &input, TimePoint now)
 {
     thresholds_.high = toleranceOf(settings_, input.weights);
     thresholds_.low = thresholds_.high * StopShare;
-    movesLeft_ = std::max(LeastMoves,
+    movesLeft_ = std::max(MinMoveLimit,
                           static_cast<size_t>(settings_.movesPerInstance
                                               * static_cast<double>(input.instances.size())));
     loadLeft_ = settings_.moveLoadShare * model_.totalLoad();
-    carried_.assign(model_.instances().size(), {});
+    movableRanges_.assign(model_.instances().size(), {});
     hottest_.assign(model_.instances().size(), 0.0);
     for (size_t index = 0; index < model_.ranges().size(); ++index) {
         const RangeState &range = model_.ranges()[index];
@@ -216,39 +217,39 @@
         }
         const bool held = now - range.movedAt < settings_.holdDown;
         if (!held && range.pendingTo == InvalidNode) {
-            carried_[range.instance].push_back(index);
+            movableRanges_[range.instance].push_back(index);
         }
     }
     std::vector<std::pair<double, uint32_t>> overloaded;
     const double mean = model_.meanRelative();
-    const double line = mean * std::min(hottestBound(), settings_.boundSlack);
-    std::unordered_map<NodeId, uint32_t> lasting;
-    for (uint32_t index = 0; index < carried_.size(); ++index) {
+    const double targetRelative = mean * std::min(imbalanceBound(), settings_.boundSlack);
+    std::unordered_map<NodeId, uint32_t> stillOverloaded;
+    for (uint32_t index = 0; index < movableRanges_.size(); ++index) {
         const InstanceState &instance = model_.instances()[index];
-        const double fair = std::max(line * instance.capacity, hottest_[index]);
+        const double fair = std::max(targetRelative * instance.capacity, hottest_[index]);
         const bool over = instance.known && instance.capacity > 0
                           && instance.load > fair * (1 + thresholds_.high);
-        const uint32_t inRow = over ? overloadedFor_[instance.id] + 1 : 0;
-        if (inRow > 0) {
-            lasting[instance.id] = inRow;
+        const uint32_t rounds = over ? overloadedFor_[instance.id] + 1 : 0;
+        if (rounds > 0) {
+            stillOverloaded[instance.id] = rounds;
         }
-        if (inRow >= settings_.patience) {
+        if (rounds >= settings_.overloadedRounds) {
             overloaded.emplace_back(instance.relative(), index);
         }
     }
-    overloadedFor_ = std::move(lasting);
+    overloadedFor_ = std::move(stillOverloaded);
     std::sort(overloaded.rbegin(), overloaded.rend());
     DestinationIndex index(model_, [](const InstanceState &instance) {
         return instance.known && !instance.leaving;
     });
     for (const auto &[relative, source] : overloaded) {
         const InstanceState &instance = model_.instances()[source];
-        const double fair = std::max(line * instance.capacity, hottest_[source]);
-        relieve(source, instance.load - fair * (1 + thresholds_.low), index);
+        const double fair = std::max(targetRelative * instance.capacity, hottest_[source]);
+        reduceLoad(source, instance.load - fair * (1 + thresholds_.low), index);
     }
 }
 
-double ServicePlacement::hottestBound()
+double ServicePlacement::imbalanceBound()
 {
     double hottest = 0;
     double largest = 0;
@@ -262,16 +263,16 @@
     return mean > 0 && largest > 0 ? std::max(1.0, hottest / largest / mean) : 1.0;
 }
 
-bool ServicePlacement::relieve(uint32_t source, double excess, DestinationIndex &index)
+bool ServicePlacement::reduceLoad(uint32_t source, double excess, DestinationIndex &index)
 {
-    std::vector<size_t> &ranges = carried_[source];
+    std::vector<size_t> &ranges = movableRanges_[source];
     std::sort(ranges.begin(), ranges.end(), [this](size_t left, size_t right) {
         const double leftWeight = model_.weightOf(model_.ranges()[left]);
         const double rightWeight = model_.weightOf(model_.ranges()[right]);
         return leftWeight != rightWeight ? leftWeight > rightWeight : left < right;
     });
     bool moved = false;
-    // The heaviest ranges that fit the excess: the fewest moves, and no more load than needed.
+    // The heaviest ranges that fit the excess: this needs the fewest moves and moves no extra load.
     for (const size_t range : ranges) {
         const double weight = model_.weightOf(model_.ranges()[range]);
         if (weight <= excess && moveOne(source, range, true, index)) {
@@ -282,7 +283,7 @@
     if (moved || excess <= 0) {
         return moved;
     }
-    // None fits: one that still leaves both sides below what the source has now.
+    // None fits: move one after which both instances are below the present load of the source.
     for (auto range = ranges.rbegin(); range != ranges.rend(); ++range) {
         if (moveOne(source, *range, false, index)) {
             return true;
@@ -300,7 +301,7 @@
     }
     const double mean = model_.meanRelative();
     const double highest = mustFit ? mean * (1 + thresholds_.low)
-                                   : model_.instances()[source].relative() - WorthwhileGain * mean;
+                                   : model_.instances()[source].relative() - MinMoveGain * mean;
     const uint32_t to = index.find([&](const InstanceState &instance) {
         const double fair = instance.capacity / model_.totalCapacity();
         return &instance != &model_.instances()[source]
@@ -323,23 +324,25 @@
     const RangeState &right = model_.ranges()[index];
     const bool settled = now - std::max(left.movedAt, left.reshapedAt) > settings_.holdDown
                          && now - std::max(right.movedAt, right.reshapedAt) > settings_.holdDown;
-    const bool still = left.pendingTo == InvalidNode && right.pendingTo == InvalidNode;
-    return settled && still && left.owner == right.owner && left.instance == right.instance
+    const bool noMovePending = left.pendingTo == InvalidNode && right.pendingTo == InvalidNode;
+    return settled && noMovePending && left.owner == right.owner && left.instance == right.instance
            && left.load + right.load < highest;
 }
 
-void ServicePlacement::returnCooled(TimePoint now)
+void ServicePlacement::returnCooledKeys(TimePoint now)
 {
     const double mean = model_.meanInstance();
     for (size_t index = 1; index < model_.ranges().size() && movesLeft_ > 0; ++index) {
         const RangeState &range = model_.ranges()[index];
-        const uint32_t home = model_.ranges()[index - 1].instance;
-        const bool still = range.pendingTo == InvalidNode
-                           && now - std::max(range.movedAt, range.reshapedAt) > settings_.holdDown;
-        const bool away = home != NoInstance && range.instance != home
-                          && model_.instances()[home].capacity > 0;
-        if (range.isolated && still && away && range.load < settings_.coolShare * mean) {
-            model_.place(index, home);
+        const uint32_t destination = model_.ranges()[index - 1].instance;
+        const bool noMovePending
+                = range.pendingTo == InvalidNode
+                  && now - std::max(range.movedAt, range.reshapedAt) > settings_.holdDown;
+        const bool isElsewhere = destination != NoInstance && range.instance != destination
+                                 && model_.instances()[destination].capacity > 0;
+        if (range.isolated && noMovePending && isElsewhere
+            && range.load < settings_.coolShare * mean) {
+            model_.place(index, destination);
             emitMove(index, PlacementReason::ColdRanges);
             --movesLeft_;
         }
@@ -350,8 +353,9 @@
 {
     const double mean = model_.meanInstance();
     const std::vector<RangeState> &ranges = model_.ranges();
-    const bool crowded = static_cast<double>(ranges.size())
-                         > settings_.mergeRanges * static_cast<double>(model_.instances().size());
+    const bool tooManyRanges
+            = static_cast<double>(ranges.size())
+              > settings_.mergeRanges * static_cast<double>(model_.instances().size());
     size_t before = 0;
     for (size_t index = 1; index < ranges.size(); ++index) {
         const RangeState &left = ranges[before];
@@ -359,16 +363,16 @@
         const bool cooled = (left.isolated && left.load < settings_.coolShare * mean)
                             || (right.isolated && right.load < settings_.coolShare * mean);
         const bool small = left.load + right.load < settings_.splitShare / 2 * mean;
-        if ((cooled || (crowded && small))
+        if ((cooled || (tooManyRanges && small))
             && mayMerge(before, index, settings_.splitShare * mean, now)) {
             steps_.push_back({PlacementStep::Kind::Merge, right.first, InvalidNode,
                               PlacementReason::ColdRanges});
-            model_.join(index, now);
+            model_.merge(index, now);
         } else {
             before = index;
         }
     }
-    model_.dropJoined();
+    model_.dropMerged();
 }
 
 void ServicePlacement::summarize()
@@ -380,7 +384,7 @@
         highest = instance.capacity > 0 ? std::max(highest, instance.relative()) : highest;
     }
     summary_.imbalance = mean > 0 ? highest / mean : 1;
-    summary_.bound = hottestBound();
+    summary_.bound = imbalanceBound();
 }
 
 } // namespace wisteriahoist
--- a/src/decision/placement/service_placement.h
+++ b/src/decision/placement/service_placement.h
@@ -1,4 +1,4 @@
-/** @file service_placement.h Even load by few moves, for one service. */
+/** @file service_placement.h Balances the load of one service with few moves. */
 
 #pragma once
 
@@ -7,22 +7,23 @@
 
 namespace wisteriahoist {
 
-/** What the last decision saw; for metrics and reports. */
+/** Summary of the last decision, for metrics and reports. */
 struct PlacementSummary {
-    double imbalance = 1;  ///< Highest relative load over the mean, by the estimates.
-    double bound = 1;      ///< Lowest possible imbalance: the hottest single key's instance.
+    double imbalance = 1;  ///< Highest relative load divided by the mean, estimated.
+    double bound = 1;      ///< Lowest possible imbalance, due to the hottest single key.
     size_t unknown = 0;    ///< Instances whose report is too old.
-    double movedLoad = 0;  ///< Requests per second that this decision moves.
-    double movedWidth = 0; ///< Share of the key space that this decision moves.
+    double movedLoad = 0;  ///< Requests per second moved by this decision.
+    double movedWidth = 0; ///< Share of the key space moved by this decision.
 };
 
 /**
- * Ranges of lost, absent and draining owners go to the least loaded instances, all in one
- * decision. Then hot keys are isolated and, within a budget, ranges leave overloaded instances.
+ * Moves ranges of lost, absent and draining owners to the least loaded instances in one decision.
+ * Then it isolates hot keys and, within a budget, moves ranges away from overloaded instances.
  *
- * One object decides for one service and remembers load estimates, moves under way and hold-down
- * between calls; the same sequence of calls gives the same answers. A new object (after a change of
- * coordinator) starts from the reports alone, which costs hold-down but no promise.
+ * Each object decides for one service and keeps load estimates, pending moves and hold-down times
+ * between calls; the same sequence of calls gives the same results. A new object (after a change of
+ * coordinator) starts with the reports only: hold-down times are lost, but no guarantee is
+ * violated.
  */
 class ServicePlacement
 {
@@ -34,26 +35,26 @@
     const PlacementSummary &summary() const { return summary_; }
 
 private:
-    /** Overload in the relative load at which moves start and end. */
+    /** Relative overload at which moves start and end. */
     struct Thresholds {
         double high;
         double low;
     };
 
-    void rehome(PlacementReason reason, const std::vector<size_t> &ranges);
-    void rehomeOrphans();
-    void emptyDraining();
-    void reshape(const PlacementInput &input, TimePoint now);
+    void reassign(PlacementReason reason, const std::vector<size_t> &ranges);
+    void reassignOrphans();
+    void reassignDraining();
+    void splitRanges(const PlacementInput &input, TimePoint now);
     void collectHotKeys(const PlacementInput &input);
     void balance(const PlacementInput &input, TimePoint now);
-    bool relieve(uint32_t source, double excess, DestinationIndex &index);
+    bool reduceLoad(uint32_t source, double excess, DestinationIndex &index);
     bool moveOne(uint32_t source, size_t range, bool mustFit, DestinationIndex &index);
-    /** An isolated key that is hot no more goes to its neighbour's owner, to be joined there. */
-    void returnCooled(TimePoint now);
+    /** Moves isolated keys that are no longer hot to the owner of the preceding range, to merge. */
+    void returnCooledKeys(TimePoint now);
     void mergeCold(TimePoint now);
     bool mayMerge(size_t before, size_t index, double highest, TimePoint now);
     void emitMove(size_t range, PlacementReason reason);
-    double hottestBound();
+    double imbalanceBound();
     void summarize();
 
     PlacementSettings settings_;
@@ -61,13 +62,13 @@
     PlacementSummary summary_;
     Thresholds thresholds_{};
     std::vector<PlacementStep> steps_;
-    std::vector<HotKey> hotKeys_;              ///< Of this decision: hottest first, no repeats.
-    std::vector<std::vector<size_t>> carried_; ///< Movable ranges by instance, heaviest first.
-    std::vector<double> hottest_;              ///< Hottest single key's load by instance.
+    std::vector<HotKey> hotKeys_; ///< Of this decision: sorted by hash, without duplicates.
+    std::vector<std::vector<size_t>> movableRanges_; ///< By instance, heaviest first.
+    std::vector<double> hottest_; ///< Load of the hottest single key, by instance.
     size_t movesLeft_ = 0;
     double loadLeft_ = 0;
     TimePoint now_ = NeverTime;
-    std::unordered_map<NodeId, uint32_t> overloadedFor_; ///< Decisions in a row, by instance.
+    std::unordered_map<NodeId, uint32_t> overloadedFor_; ///< Consecutive decisions, by instance.
     TimePoint startedAt_ = NeverTime;
     TimePoint balancedAt_ = NeverTime;
 };
--- a/src/decision/placement/table/placement_profiles.h
+++ b/src/decision/placement/table/placement_profiles.h
@@ -1,4 +1,4 @@
-/** @file placement_profiles.h Shipped weights of the three measures, by the users' services. */
+/** @file placement_profiles.h Default weights of the three measures for the users' services. */
 
 #pragma once
 
@@ -9,20 +9,21 @@
 
 namespace wisteriahoist {
 
-/** A shipped profile: a service, its size today, and how its users weigh the measures. */
+/** A default profile: a service, its current size and its weights of the measures. */
 struct PlacementProfile {
     std::string_view name;
-    uint32_t instances;          ///< Backend servers today.
-    uint32_t slotsEach;          ///< Requests that one backend server runs at once.
-    uint32_t connectionsEach;    ///< Connections that one backend server accepts.
-    std::string_view measuredBy; ///< What its users weigh most.
+    uint32_t instances;            ///< Current number of backend servers.
+    uint32_t slotsPerServer;       ///< Requests that one backend server runs concurrently.
+    uint32_t connectionsPerServer; ///< Maximum connections of one backend server.
+    std::string_view mainMeasure;  ///< The most important measure to its users.
     PlacementWeights weights;
 };
 
-/** Unavailable time first: an owner who waits leaves. Moves are short, so balance comes second. */
+/** Unavailable time first: callers leave if they have to wait. Moves are short, so balance is
+ * second. */
 inline constexpr PlacementWeights UnavailableTimeWeights{2.0, 1.0, 4.0};
 
-/** Churn first: report and scheduling state is costly to move, and clients can wait. */
+/** Churn first: report and scheduling state is expensive to move, and callers can wait. */
 inline constexpr PlacementWeights ChurnWeights{2.0, 6.0, 1.0};
 
 inline constexpr std::array PlacementProfiles{
--- a/src/decision/routing/route_table.cpp
+++ b/src/decision/routing/route_table.cpp
@@ -79,9 +79,9 @@
         state.credits[index] += route.targets[index].weight;
         total += route.targets[index].weight;
     }
-    const auto richest = std::max_element(state.credits.begin(), state.credits.end());
-    *richest -= total;
-    return route.targets[static_cast<size_t>(richest - state.credits.begin())].service;
+    const auto highest = std::max_element(state.credits.begin(), state.credits.end());
+    *highest -= total;
+    return route.targets[static_cast<size_t>(highest - state.credits.begin())].service;
 }
 
 } // namespace wisteriahoist
--- a/src/decision/routing/route_table.h
+++ b/src/decision/routing/route_table.h
@@ -18,7 +18,7 @@
 
     /**
      * @param host The Host field as received; a port in it is ignored.
-     * @param target The request target; only its path counts.
+     * @param target The request target; only its path is used.
      * @return nullptr if no route matches.
      */
     const Route *find(std::string_view host, std::string_view target) const;
@@ -33,19 +33,19 @@
 
 private:
     RouteConfigPtr config_;
-    /// Points into config_. Invariant: each list is sorted by length of the prefix, longest first.
+    /// Points into config_. Invariant: each list is sorted by prefix length, longest first.
     std::unordered_map<std::string, std::vector<const Route *>> byHost_;
 };
 
 /**
- * Holds the newest configuration that this process has seen.
- * Invariant: its version never falls. A re-read after a lost watch may return an older state; a
- * caller would see a route that was just added answer 404 again.
+ * Holds the newest configuration that this process has received.
+ * Invariant: its version never decreases. A re-read after a lost watch may return an older state;
+ * if it were applied, callers would get 404 again for a route that was just added.
  */
 class RouteConfigHolder
 {
 public:
-    /** @return Whether @p config was newer and is now in force. */
+    /** @return Whether @p config was newer and has been applied. */
     bool offer(RouteConfig config);
 
     const std::shared_ptr<const RouteTable> &table() const { return table_; }
@@ -55,19 +55,20 @@
 };
 
 /**
- * Spreads the requests of a route over its targets in proportion to their weights, by the smooth
+ * Distributes the requests of a route over its targets in proportion to their weights, by smooth
  * weighted round robin: after any number of picks each target is within one request of its share.
- * A random choice would stray from the declared shares by 5% and more in windows of a few hundred.
+ * A random choice deviates from the declared shares by 5% and more over a few hundred requests.
  */
 class TargetPicker
 {
 public:
-    /** @return The service that the next request of @p route goes to. */
+    /** @return The service for the next request of @p route. */
     const std::string &pick(const Route &route);
 
 private:
     struct Credits {
-        std::vector<RouteTarget> targets; ///< The weights that the credits belong to.
+        std::vector<RouteTarget>
+                targets; ///< The targets and weights that the credits were computed for.
         std::vector<double> credits;
     };
     std::unordered_map<std::string, Credits> byRoute_;
--- a/src/decision/routing/routing_snapshot.h
+++ b/src/decision/routing/routing_snapshot.h
@@ -1,4 +1,4 @@
-/** @file routing_snapshot.h What a node knows of declarations, owners and members at one moment. */
+/** @file routing_snapshot.h Consistent view of declarations, range owners and members. */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** An immutable view; a new one is made for each change and handed to every duty. */
+/** An immutable view; each change creates a new one, which is passed to every duty. */
 struct RoutingSnapshot {
     Declarations declarations;
     ObjectVersion assignmentVersion;
--- a/src/decision/routing/slice_delta.cpp
+++ b/src/decision/routing/slice_delta.cpp
@@ -1,4 +1,4 @@
-/** @file slice_delta.cpp Changes of routes by version, and how a node follows them. */
+/** @file slice_delta.cpp Versioned deltas of range tables, and how a node applies them. */
 
 #include "decision/routing/slice_delta.h"
 
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr size_t SliceBytes = 24;
-constexpr size_t PointBytes = 8;
-constexpr size_t HeaderBytes = 16;
+constexpr size_t SliceBytes = 24;  ///< First point, owner and epoch.
+constexpr size_t PointBytes = 8;   ///< First point of a removed range.
+constexpr size_t HeaderBytes = 16; ///< Base version and version.
 
 /** Compares two sorted tables range by range. */
 template <typename OnRemoved, typename OnChanged>
@@ -95,7 +95,8 @@
                                             })
                          == result.end();
     if (!ordered || (!result.empty() && result.front().first != KeyHash(0))) {
-        return Failure{FailureCode::Malformed, "delta: the ranges would not cover the key space"};
+        return Failure{FailureCode::Malformed,
+                       "delta rejected: the resulting ranges would not cover the key space"};
     }
     return SliceTable(std::move(result));
 }
@@ -174,8 +175,8 @@
     if (delta.version <= version_) {
         return DeltaOutcome::Old;
     }
-    // A lost delta would leave ranges at owners that have given them up: requests would take the
-    // longer way for good. The base shows the gap at the next delta, and the snapshot closes it.
+    // A lost delta would leave ranges with former owners, and their requests would take an extra
+    // hop permanently. The base version of the next delta reveals the gap; a snapshot closes it.
     if (delta.base != version_) {
         needsSnapshot_ = true;
         return DeltaOutcome::Gap;
--- a/src/decision/routing/slice_delta.h
+++ b/src/decision/routing/slice_delta.h
@@ -1,4 +1,4 @@
-/** @file slice_delta.h Changes of routes by version, and how a node follows them. */
+/** @file slice_delta.h Versioned deltas of range tables, and how a node applies them. */
 
 #pragma once
 
@@ -12,17 +12,17 @@
 
 namespace wisteriahoist {
 
-/** What turns one table of a service into a later one. */
+/** The difference between one range table of a service and a later one. */
 struct SliceDelta {
-    std::vector<KeyHash> removed; ///< Ranges that begin here no more; sorted.
-    std::vector<Slice> changed;   ///< New ranges, and ones with another owner or epoch; sorted.
+    std::vector<KeyHash> removed; ///< First points at which no range begins any more; sorted.
+    std::vector<Slice> changed;   ///< New ranges, and ranges with a new owner or epoch; sorted.
     bool operator==(const SliceDelta &) const = default;
 };
 
-/** The tables of all services, as a relay sends them. */
+/** The range tables of all services, by service name. */
 using ServiceTables = std::map<std::string, SliceTable>;
 
-/** What turns the tables of version base into those of version. */
+/** The difference between the tables of version base and those of version. */
 struct RouteDelta {
     ObjectVersion base;
     ObjectVersion version;
@@ -30,33 +30,33 @@
     bool operator==(const RouteDelta &) const = default;
 };
 
-/** @return What turns @p base into @p target. */
+/** @return The difference from @p base to @p target. */
 SliceDelta makeDelta(const SliceTable &base, const SliceTable &target);
 
-/** @return @p base with the changes; Malformed if it does not fit, or the result breaks the
- *  table's invariant: a node then asks for a snapshot and goes on with what it has. */
+/** @return @p base with the changes applied; Malformed if the result would violate the invariant of
+ *  SliceTable: the node then requests a snapshot and continues with its present table. */
 Result<SliceTable> applyDelta(const SliceTable &base, const SliceDelta &delta);
 
-/** @return One delta with the effect of @p first and then @p second. @pre they are adjacent. */
+/** @return One delta with the effect of @p first, then @p second. @pre They are adjacent. */
 RouteDelta composeDeltas(const RouteDelta &first, const RouteDelta &second);
 
-/** @return Its size in bytes as plain fields: 24 for a range, 8 for a removed one, names, 16. */
+/** @return Size in bytes: 16 for the header, 24 per changed and 8 per removed range, names. */
 size_t deltaBytes(const RouteDelta &delta);
 
 /**
- * The sender's side, held by the cell's coordinator: the latest changes, for members that are a
- * little behind. Who is further behind gets a snapshot.
- * Invariant: entries are adjacent: each one's base is the version of the one before it.
+ * The sender's side, kept by the coordinator of the cell: the latest changes, for members that are
+ * a few versions behind. Members that are further behind get a snapshot.
+ * Invariant: entries are adjacent: the base of each is the version of the previous one.
  */
 class DeltaLog
 {
 public:
     explicit DeltaLog(size_t capacity) : capacity_(capacity) { }
 
-    /** Takes over a new version; an older one or the same is ignored. */
+    /** Records a new version; an older or equal one is ignored. */
     void onVersion(ObjectVersion version, const ServiceTables &tables);
 
-    /** @return The changes since @p known; nullopt: send a snapshot. Empty if it is up to date. */
+    /** @return The changes since @p known, empty if up to date; nullopt if a snapshot is needed. */
     std::optional<RouteDelta> since(ObjectVersion known) const;
 
     ObjectVersion version() const { return version_; }
@@ -69,20 +69,20 @@
     ObjectVersion version_;
 };
 
-/** What became of a delta that arrived. */
+/** Result of a received delta. */
 enum class DeltaOutcome {
     Applied,
-    Old, ///< Not newer than what is held; ignored.
-    Gap, ///< Its base is not what is held, or it did not fit; a snapshot is needed.
+    Old, ///< Not newer than the present version; ignored.
+    Gap, ///< Wrong base version, or not applicable; a snapshot is needed.
 };
 
-/** The receiver's side. Invariant: version() only rises. */
+/** The receiver's side. Invariant: version() never decreases. */
 class RouteFollower
 {
 public:
     DeltaOutcome onDelta(const RouteDelta &delta);
 
-    /** @return Whether it was taken: an older snapshot than what is held never is. */
+    /** @return Whether it was applied: a snapshot older than the present version is not. */
     bool onSnapshot(ObjectVersion version, ServiceTables tables);
 
     bool needsSnapshot() const { return needsSnapshot_; }
--- a/src/decision/routing/slice_table.cpp
+++ b/src/decision/routing/slice_table.cpp
@@ -1,4 +1,4 @@
-/** @file slice_table.cpp Which node owns which range of a service's hash space. */
+/** @file slice_table.cpp Maps the ranges of a service's hash space to their owners. */
 
 #include "decision/routing/slice_table.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr int CoarserBits = 1;         ///< A bucket holds about two ranges: half the index.
-constexpr size_t SmallestIndexed = 64; ///< Below, a plain binary search touches few cache lines.
+constexpr int CoarserBits = 1;         ///< About two ranges per bucket, which halves the index.
+constexpr size_t SmallestIndexed = 64; ///< Below, a binary search touches few cache lines.
 
 } // namespace
 
--- a/src/decision/routing/slice_table.h
+++ b/src/decision/routing/slice_table.h
@@ -1,4 +1,4 @@
-/** @file slice_table.h Which node owns which range of a service's hash space. */
+/** @file slice_table.h Maps the ranges of a service's hash space to their owners. */
 
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace wisteriahoist {
 
-/** One range, from first to the next range's first. */
+/** One range, from first up to the first point of the next range. */
 struct Slice {
     KeyHash first;
     NodeId owner; ///< InvalidNode: no owner at present.
-    Epoch epoch;  ///< Rises with each change of owner.
+    Epoch epoch;  ///< Increases with each change of owner.
     bool operator==(const Slice &) const = default;
 };
 
@@ -24,9 +24,10 @@
 }
 
 /**
- * An immutable table of the ranges of one service. Threads read it without a lock; a change makes
- * a new table, which the readers' next snapshot holds.
- * Invariant: sorted by first; the first range begins at 0; so every hash lies in exactly one range.
+ * An immutable table of the ranges of one service. Threads read it without a lock; a change creates
+ * a new table, which readers get with their next snapshot.
+ * Invariant: sorted by first, and the first range begins at 0; so each hash is in exactly one
+ * range.
  */
 class SliceTable
 {
@@ -43,7 +44,7 @@
     bool empty() const { return slices_.empty(); }
     bool operator==(const SliceTable &other) const { return slices_ == other.slices_; }
 
-    /** @return The memory that the table holds, in bytes. */
+    /** @return Memory used by the table, in bytes. */
     size_t memoryBytes() const;
 
     /** @return A table of @p count ranges of equal width without owners. */
@@ -53,10 +54,10 @@
     void buildIndex();
 
     std::vector<Slice> slices_;
-    /// By the hash's top bits: the range that holds the bucket's first point. A lookup searches
-    /// only between its bucket's entry and the next one's. Empty for small tables.
+    /// Indexed by the top bits of a hash (its bucket): the range that contains the first point of
+    /// the bucket. A lookup searches only between two adjacent entries. Empty for small tables.
     std::vector<uint32_t> index_;
-    int shift_ = 64; ///< A hash's bucket is the hash shifted right by this many bits.
+    int shift_ = 64; ///< Bits by which a hash is shifted right to get its bucket.
 };
 
 } // namespace wisteriahoist
--- a/src/decision/routing/slice_table_func.cpp
+++ b/src/decision/routing/slice_table_func.cpp
@@ -1,4 +1,4 @@
-/** @file slice_table_func.cpp Changes of a slice table. */
+/** @file slice_table_func.cpp Operations that derive a changed slice table. */
 
 #include "decision/routing/slice_table_func.h"
 
@@ -21,7 +21,9 @@
     std::vector<Slice> slices = table.slices();
     const auto place = lowerBound(slices, at);
     if (slices.empty() || (place != slices.end() && place->first == at)) {
-        return Failure{FailureCode::BadArgument, "split: no range, or one begins there already"};
+        return Failure{
+                FailureCode::BadArgument,
+                "split rejected: the table is empty or a range already begins at this point"};
     }
     Slice part = *std::prev(place);
     part.first = at;
@@ -34,10 +36,11 @@
     std::vector<Slice> slices = table.slices();
     const auto place = lowerBound(slices, first);
     if (place == slices.end() || place->first != first) {
-        return Failure{FailureCode::NotFound, "merge: no range begins there"};
+        return Failure{FailureCode::NotFound, "merge rejected: no range begins at this point"};
     }
     if (place == slices.begin() || std::prev(place)->owner != place->owner) {
-        return Failure{FailureCode::BadArgument, "merge: no range before it with the same owner"};
+        return Failure{FailureCode::BadArgument,
+                       "merge rejected: no preceding range with the same owner"};
     }
     std::prev(place)->epoch = std::max(std::prev(place)->epoch, place->epoch);
     slices.erase(place);
@@ -47,13 +50,13 @@
 Result<SliceTable> isolateKey(const SliceTable &table, KeyHash hash)
 {
     if (table.empty()) {
-        return Failure{FailureCode::BadArgument, "isolate: the table is empty"};
+        return Failure{FailureCode::BadArgument, "isolate rejected: the table is empty"};
     }
     SliceTable result = table;
     if (result.find(hash)->first != hash) {
         result = splitSlice(result, hash).assume_value();
     }
-    const KeyHash after = hash.next(); // Wraps round to 0 behind the last point: no cut there.
+    const KeyHash after = hash.next(); // Wraps to 0 after the last point, where no split is needed.
     if (after != KeyHash(0) && result.find(after)->first != after) {
         result = splitSlice(result, after).assume_value();
     }
@@ -65,10 +68,11 @@
     std::vector<Slice> slices = table.slices();
     const auto place = lowerBound(slices, first);
     if (place == slices.end() || place->first != first) {
-        return Failure{FailureCode::NotFound, "move: no range begins there"};
+        return Failure{FailureCode::NotFound, "move rejected: no range begins at this point"};
     }
     if (epoch <= place->epoch) {
-        return Failure{FailureCode::BadArgument, "move: the epoch does not rise"};
+        return Failure{FailureCode::BadArgument,
+                       "move rejected: the epoch is not above the present one"};
     }
     place->owner = owner;
     place->epoch = epoch;
--- a/src/duty/config_writer.cpp
+++ b/src/duty/config_writer.cpp
@@ -1,5 +1,5 @@
-/** @file config_writer.cpp Carries an accepted change into the platform, and finds out whether it
- * is there. */
+/** @file config_writer.cpp Writes accepted configuration changes to the platform and verifies the
+ * outcome. */
 
 #include "duty/config_writer.h"
 
@@ -20,8 +20,8 @@
 
 const std::string ConfigObject = "config";
 
-/** @return Whether a write that failed so may still have taken effect, or may yet. */
-bool isUnclear(FailureCode code)
+/** @return Whether a write with this failure may have taken effect or may do so later. */
+bool isOutcomeUnknown(FailureCode code)
 {
     return code == FailureCode::Ambiguous || code == FailureCode::DeadlineExceeded
            || code == FailureCode::Malformed;
@@ -37,7 +37,7 @@
     }
     Result<ConfigRecord> record = decodeConfigRecord(object.assume_value().content);
     if (!record) {
-        // Never overwritten as if it were absent: that would start again from version 1.
+        // Not treated as absent: overwriting the object would restart at version 1.
         co_return std::move(record).as_failure();
     }
     Stored stored;
@@ -73,7 +73,7 @@
     ConfigOutcome &outcome = change.outcome;
     Result<Stored> stored = co_await readStored();
     if (!stored) {
-        // After an unclear write its failure stands: this one says nothing about the write.
+        // After a write with unknown outcome its failure is kept: this one is only of the read.
         if (!change.mayBeWritten) {
             outcome.failure = stored.assume_error();
         }
@@ -86,7 +86,7 @@
         outcome.failure.reset();
         co_return Step::Finished;
     }
-    // From here on, a change by another operator is a conflict even if no version was expected.
+    // From now on, a change by another operator is a conflict even if no version was expected.
     change.request.expectedVersion = record.declarations.version;
     std::string content = encodeConfigRecord(outcome.decision.record);
     Result<ObjectVersion> written = co_await platform_.write(
@@ -97,7 +97,7 @@
         co_return Step::Finished;
     }
     const Failure &failure = written.assume_error();
-    if (isUnclear(failure.code)) {
+    if (isOutcomeUnknown(failure.code)) {
         change.mayBeWritten = true;
         outcome.failure = failure;
     } else if (!change.mayBeWritten) {
--- a/src/duty/config_writer.h
+++ b/src/duty/config_writer.h
@@ -1,5 +1,5 @@
-/** @file config_writer.h Carries an accepted change into the platform, and finds out whether it is
- * there. */
+/** @file config_writer.h Writes accepted configuration changes to the platform and verifies the
+ * outcome. */
 
 #pragma once
 
@@ -10,28 +10,29 @@
 
 namespace wisteriahoist {
 
-/** Bounds of the attempts to write one change. */
+/** Limits of the attempts to write one change. */
 struct ConfigWriterTimes {
-    uint32_t attempts = 4;        ///< Reads of the platform for one change.
-    milliseconds retryPause{100}; ///< Before the second attempt; doubles with each.
+    uint32_t attempts = 4;        ///< Maximum number of read-and-write attempts per change.
+    milliseconds retryPause{100}; ///< Before the second attempt; doubles with each one.
 };
 
-/** What became of a change. */
+/** Result of a change. */
 struct ConfigOutcome {
     ConfigDecision decision;
-    std::optional<Failure> failure; ///< The platform's; the decision then says nothing.
-    uint64_t storedVersion = 0;     ///< The highest version seen in the platform.
+    std::optional<Failure> failure; ///< Of the platform; the decision is then not valid.
+    uint64_t storedVersion = 0;     ///< The highest version read from the platform.
 };
 
 /**
  * Writes changes to the configuration object.
  *
- * Failure met: a reply of the platform is lost after the write took effect, or the write is still
- * on its way when the caller gives up; answered "failed", the operator would apply again or believe
- * that the old rules hold. So an unclear write is repeated under the same condition (the version
- * read first): at most one of the copies can take effect, and the request id in the object tells
- * whether one did. If the object has moved on without the id, none can take effect any more and the
- * operator gets the conflict. Only when the platform stays away is the answer "may have been done".
+ * The reply of the platform may be lost after the write took effect, or the write may still be in
+ * transit when the call times out. If the operator got "failed" then, they would apply the change
+ * again or assume that the old rules are still in effect. Therefore a write with unknown outcome is
+ * repeated under the same condition (the version read first): at most one of the copies can take
+ * effect, and the request id in the object shows whether one did. If the object has a newer version
+ * without the id, none can take effect any more and the operator gets the conflict. Only if the
+ * platform stays unavailable is the outcome reported as unknown.
  */
 class ConfigWriter
 {
@@ -40,16 +41,16 @@
         : platform_(platform), times_(times)
     { }
 
-    /** Reads the configuration object. */
+    /** Reads the current configuration object. */
     PlatformStore::Pending<ConfigRecord> read();
 
     /**
-     * Puts one change in force.
-     * @param floor The highest version that this node has had in force.
+     * Applies one change.
+     * @param floor The highest version that has been in effect at this node; the new one is higher.
      */
     boost::asio::awaitable<ConfigOutcome> apply(ConfigRequest request, uint64_t floor);
 
-    /** Decides about a change, and writes nothing. */
+    /** Decides about a change without writing anything. */
     boost::asio::awaitable<ConfigOutcome> dryRun(ConfigRequest request, uint64_t floor);
 
 private:
@@ -57,11 +58,11 @@
         ObjectVersion objectVersion;
         ConfigRecord record;
     };
-    /** One change on its way. */
+    /** State of the attempts to write one change. */
     struct Change {
         ConfigRequest request;
         uint64_t floor = 0;
-        bool mayBeWritten = false; ///< A write of it is unclear.
+        bool mayBeWritten = false; ///< A write of it has an unknown outcome.
         ConfigOutcome outcome;
     };
     enum class Step { Finished, TryAgain };
--- a/src/duty/fleet_view.cpp
+++ b/src/duty/fleet_view.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_view.cpp What one node knows from the store. */
+/** @file fleet_view.cpp A node's copy of the store's records. */
 
 #include "duty/fleet_view.h"
 
@@ -107,8 +107,10 @@
     } else if (record.layout == records.joined.layout) {
         table = replaceBlock(std::move(table), record.layout.spanOf(record.block), record.table);
     } else {
-        logMalformedRecord(RecordKind::Ranges, name,
-                           {FailureCode::Malformed, "a block of another division"});
+        logMalformedRecord(
+                RecordKind::Ranges, name,
+                {FailureCode::Malformed,
+                 "block layout differs from that of the service's record; the block is ignored"});
         return;
     }
     notify();
@@ -125,7 +127,7 @@
     const auto [found, isNew] = ready_.try_emplace(service);
     if (isNew) {
         for (const auto &[node, member] : members_) {
-            if (member.service == service && member.takesRequests()) {
+            if (member.service == service && member.acceptsRequests()) {
                 found->second.push_back(&member);
             }
         }
--- a/src/duty/fleet_view.h
+++ b/src/duty/fleet_view.h
@@ -1,4 +1,4 @@
-/** @file fleet_view.h What one node knows of configuration, members and ranges from the store. */
+/** @file fleet_view.h A node's copy of configuration, members and ranges from the store. */
 
 #pragma once
 
@@ -13,34 +13,34 @@
 
 namespace wisteriahoist {
 
-/** A service's range table as it is stored, put together from its records. */
+/** The range table of a service, assembled from its records in the store. */
 struct StoredTable {
-    RangeTable table;       ///< With each block as its own record has it.
-    StoreRevision revision; ///< Of the service's own record.
+    RangeTable table;       ///< Each block has the content of its own record.
+    StoreRevision revision; ///< Revision of the service's own record.
     BlockLayout layout;
     std::map<uint32_t, StoreRevision> blocks; ///< Revisions of the blocks that have records.
 
-    /** @return The revision of the record that @p block is written to; 0 if there is none yet. */
+    /** @return Revision of the record that contains @p block; 0 if it doesn't exist yet. */
     StoreRevision revisionOf(uint32_t block) const;
 };
 
 /**
- * The node's copy of the store's records. It is never older than it was: a record is replaced
- * only by one with a higher revision. Used by one thread.
+ * The node's copy of the store's records. Its records never become older: each is replaced only by
+ * one with a higher revision. Used by one thread.
  */
 class FleetView
 {
 public:
-    /** @return Whether it is newer than what was known. */
+    /** @return Whether @p config is newer than the current configuration. */
     bool onConfig(RouteConfig config);
     void onMember(const MemberRecord &member, StoreRevision revision);
     void onMemberRemoved(const std::string &name);
-    /** Decodes a record of ranges and takes it over; what can't be read is logged and left out. */
+    /** Decodes and applies a record of ranges; a malformed one is logged and ignored. */
     void onRangeRecord(const StoredRecord &record);
-    /** @param name The record's name. */
+    /** Applies a decoded record of ranges. @param name The record's name. */
     void onRanges(const std::string &name, RangeRecord record, StoreRevision revision);
 
-    /** @param action Runs after each change; kept for the life of this object. */
+    /** @param action Called after each change, for the lifetime of this object. */
     void onChange(std::function<void()> action) { actions_.push_back(std::move(action)); }
 
     const RouteTable &routes() const { return *config_.table(); }
@@ -49,21 +49,21 @@
     const std::map<NodeId, MemberRecord> &members() const { return members_; }
     const MemberRecord *findMember(NodeId node) const;
 
-    /** @return Members whose backend server serves @p service and takes requests; valid until the
+    /** @return Members whose backend server serves @p service and accepts requests; valid until the
      *          next change of a member. */
     const std::vector<const MemberRecord *> &readyMembers(const std::string &service) const;
 
     /** @return nullptr if the service has no table yet. */
     const StoredTable *findTable(const std::string &service) const;
 
-    /** @return Counts up with each change; tells a waiter whether something is new. */
+    /** @return A counter of changes, by which a waiter detects whether something has changed. */
     uint64_t changes() const { return changes_; }
 
 private:
     /** The records of one service's ranges. */
     struct RangeRecords {
-        StoredTable joined; ///< Without a revision of its own: the service's own record is missing.
-        std::map<uint32_t, RangeTable> early; ///< Blocks that came before the service's own record.
+        StoredTable joined; ///< Its revision is 0 until the service's own record has arrived.
+        std::map<uint32_t, RangeTable> early; ///< Blocks received before the service's own record.
     };
 
     void notify();
@@ -71,20 +71,20 @@
     RouteConfigHolder config_;
     std::map<NodeId, MemberRecord> members_;
     std::map<NodeId, StoreRevision> memberRevisions_;
-    /// Of members_, by service; empty after a change, since every request asks for one of them.
+    /// Cache of readyMembers() by service, used for every request; cleared by each change.
     mutable std::map<std::string, std::vector<const MemberRecord *>> ready_;
     std::map<std::string, RangeRecords> tables_;
     std::vector<std::function<void()>> actions_;
     uint64_t changes_ = 0;
 };
 
-/** Logs a record of the store that can't be used; what was known before stays in force. */
+/** Logs a malformed record of the store; the previous state remains in effect. */
 void logMalformedRecord(RecordKind kind, const std::string &name, const Failure &failure);
 
-/** @return The name of a member's records in the store. */
+/** @return The name of a member's record in the store. */
 std::string memberRecordName(NodeId node);
 
-/** @return The name of the record that has one block of a service's ranges. */
+/** @return The name of the record that contains one block of a service's ranges. */
 std::string blockRecordName(const std::string &service, uint32_t block);
 
 } // namespace wisteriahoist
--- a/src/duty/member_publisher.cpp
+++ b/src/duty/member_publisher.cpp
@@ -1,4 +1,4 @@
-/** @file member_publisher.cpp Writes this node's own member record whenever it has changed. */
+/** @file member_publisher.cpp Writes this node's member record whenever it has changed. */
 
 #include "duty/member_publisher.h"
 
@@ -17,13 +17,14 @@
 namespace asio = boost::asio;
 
 namespace {
-/** Between two tries: the fleet has to know of a change within a second of the store's return. */
+/** Between two attempts: a change must be published within 1 s after the store is back. */
 constexpr milliseconds RetryPause{300};
-/** Without a call of wake(); only catches a change that nobody told of. */
-constexpr milliseconds LookEvery{5000};
-/** The first record waits so long for the first heartbeat of the backend server: most nodes of a
- * fleet that starts then write one record instead of two, and each is news to all others. */
-constexpr milliseconds AwaitBackend{1000};
+/** Longest interval without a call of wake(); catches changes for which it was not called. */
+constexpr milliseconds PollInterval{5000};
+/** The first write waits this long for the first heartbeat of the backend server: when a fleet
+ * starts, most nodes then write one record instead of two, and each write is a change for all
+ * other nodes. */
+constexpr milliseconds BackendStartTimeout{1000};
 } // namespace
 
 MemberPublisher::MemberPublisher(asio::io_context &context, RecordStore &store,
@@ -42,19 +43,19 @@
 asio::awaitable<void> MemberPublisher::run()
 {
     if (describe_().state == BackendState::Absent) {
-        co_await waitFor(AwaitBackend);
+        co_await waitFor(BackendStartTimeout);
     }
     while (true) {
         const MemberRecord member = describe_();
         if (published_ && member == stored_) {
-            co_await waitFor(LookEvery);
+            co_await waitFor(PollInterval);
         } else if (!co_await publish(member)) {
             co_await sleepFor(RetryPause);
         }
     }
 }
 
-/** Waits until the record may have changed. */
+/** Waits until wake() is called, for at most @p longest. */
 asio::awaitable<void> MemberPublisher::waitFor(milliseconds longest)
 {
     timer_.expires_after(longest);
@@ -79,7 +80,8 @@
         written_(member, revision_);
         co_return true;
     }
-    // An earlier life's record, or an own write whose answer was lost: go on from what is there.
+    // There is a record of an earlier incarnation, or the response to a write was lost: continue
+    // from the stored record.
     Result<StoredRecord> stored = co_await store_.read(RecordKind::Members, std::move(name));
     if (stored) {
         const bool first = revision_.value() == 0;
--- a/src/duty/member_publisher.h
+++ b/src/duty/member_publisher.h
@@ -1,4 +1,4 @@
-/** @file member_publisher.h Writes this node's own member record whenever it has changed. */
+/** @file member_publisher.h Writes this node's member record whenever it has changed. */
 
 #pragma once
 
@@ -12,24 +12,27 @@
 
 namespace wisteriahoist {
 
-/** Keeps the stored record equal to what the node is. Used by one thread. */
+/** Keeps the stored member record equal to the node's current state. Used by one thread. */
 class MemberPublisher
 {
 public:
-    /** @param describe Gives the record as it should be now. */
+    /**
+     * @param describe Returns the record as it should be now.
+     * @param written Called after each successful write.
+     */
     MemberPublisher(boost::asio::io_context &context, RecordStore &store,
                     std::function<MemberRecord()> describe,
                     std::function<void(const MemberRecord &, StoreRevision)> written);
 
     void start();
 
-    /** @param action Gets the record that an earlier life of this node has left. */
+    /** @param action Called with the record of an earlier incarnation of this node, if any. */
     void onPreviousRecord(std::function<void(const MemberRecord &)> action)
     {
         earlier_ = std::move(action);
     }
 
-    /** The record may have changed. */
+    /** Must be called when the record may have changed. */
     void wake() { timer_.cancel(); }
 
 private:
--- a/src/duty/node_telemetry.cpp
+++ b/src/duty/node_telemetry.cpp
@@ -1,4 +1,4 @@
-/** @file node_telemetry.cpp The metrics and the health of one node. */
+/** @file node_telemetry.cpp Metrics, health and trace spans of one node. */
 
 #include "duty/node_telemetry.h"
 
@@ -37,7 +37,7 @@
     return response;
 }
 
-/** @return How many ranges of @p after have another owner than the same points had before. */
+/** @return Number of ranges of @p after whose first point had another owner in @p before. */
 uint64_t countOwnerChanges(const SliceTable &before, const SliceTable &after)
 {
     uint64_t changes = 0;
@@ -50,7 +50,7 @@
     return changes;
 }
 
-/** @return The largest number of ranges of one owner over the mean; 1 is even. */
+/** @return The largest number of ranges of one owner divided by the mean; 1: balanced. */
 double findShareImbalance(const std::map<std::string, SliceTable> &tables)
 {
     double worst = 1;
@@ -86,58 +86,59 @@
 }
 
 IngressMetrics::IngressMetrics(MetricRegistry &registry)
-    : requests(registry.addLabelledCounter("wisteriahoist_requests_total",
-                                           "Callers' requests answered by this node, by outcome.",
-                                           "outcome")),
+    : requests(registry.addLabelledCounter(
+            "wisteriahoist_requests_total",
+            "Callers' requests to which this node responded, by outcome.", "outcome")),
       notRun(registry.addLabelledCounter("wisteriahoist_requests_not_run_total",
                                          "Callers' requests that were not run, by reason.",
                                          "reason")),
       duration(registry.addDistribution("wisteriahoist_request_duration_seconds",
-                                        "Time from a caller's whole request to its answer.")),
+                                        "Time from a caller's complete request to its response.")),
       forwarded(registry.addCounter("wisteriahoist_requests_forwarded_total",
-                                    "Requests sent on to another node.")),
+                                    "Requests forwarded to another node.")),
       retries(registry.addCounter("wisteriahoist_retries_total",
-                                  "Requests sent a second time, within the retry budget.")),
+                                  "Requests retried within the retry budget.")),
       connections(registry.addGauge("wisteriahoist_caller_connections",
                                     "Open connections from callers."))
 { }
 
 GateMetrics::GateMetrics(MetricRegistry &registry)
     : requests(registry.addLabelledCounter("wisteriahoist_gate_requests_total",
-                                           "Requests that the owner gate ended, by outcome.",
+                                           "Requests completed by the owner gate, by outcome.",
                                            "outcome")),
       notRun(registry.addLabelledCounter("wisteriahoist_gate_not_run_total",
-                                         "Requests that the gate refused, by reason.", "reason")),
+                                         "Requests refused by the gate, by reason.", "reason")),
       hops(registry.addCounter("wisteriahoist_gate_hops_total",
-                               "Requests that reached the gate from other nodes.")),
+                               "Requests received by the gate from other nodes.")),
       duration(registry.addDistribution(
               "wisteriahoist_gate_duration_seconds",
-              "Time in the gate, with the wait for a slot and the backend server.")),
+              "Time in the gate, including the wait for a slot and the backend server.")),
       open(registry.addGauge("wisteriahoist_gate_open_requests",
-                             "Requests at the gate: waiting for a slot or running."))
+                             "Requests in the gate that wait for a slot or run."))
 { }
 
 OwnershipMetrics::OwnershipMetrics(MetricRegistry &registry)
-    : term(registry.addGauge("wisteriahoist_term", "Term of the latest assignment known.")),
+    : term(registry.addGauge("wisteriahoist_term", "Term of the latest known assignment.")),
       coordinating(registry.addGauge("wisteriahoist_coordinating",
                                      "1 if this node coordinates its cell.")),
       assignmentVersion(registry.addGauge("wisteriahoist_assignment_version",
-                                          "Version of the assignment in force here.")),
+                                          "Version of the assignment in effect at this node.")),
       configVersion(registry.addGauge("wisteriahoist_config_version",
-                                      "Version of the declarations in force here.")),
+                                      "Version of the declarations in effect at this node.")),
       ownedRanges(registry.addGauge("wisteriahoist_owned_ranges", "Ranges assigned to this node.")),
       members(registry.addGauge("wisteriahoist_members", "Members of the cell's roster.")),
-      shareImbalance(
-              registry.addGauge("wisteriahoist_share_imbalance",
-                                "Largest over mean number of ranges of one owner; 1 is even.")),
+      shareImbalance(registry.addGauge(
+              "wisteriahoist_share_imbalance",
+              "Largest divided by mean number of ranges per owner; 1: balanced.")),
       loadImbalance(registry.addGauge(
               "wisteriahoist_load_imbalance",
-              "Largest over mean load of one owner, on the coordinator; 0 elsewhere.")),
-      ownerChanges(registry.addCounter("wisteriahoist_owner_changes_total",
-                                       "Churn: ranges whose owner changed, as seen here.")),
-      unavailableSeconds(
-              registry.addGauge("wisteriahoist_unavailable_seconds",
-                                "Time in which this node was assigned ranges but held no lease."))
+              "Largest divided by mean load per owner, on the coordinator; 0 elsewhere.")),
+      ownerChanges(
+              registry.addCounter("wisteriahoist_owner_changes_total",
+                                  "Churn: changes of range owners, as observed by this node.")),
+      unavailableSeconds(registry.addGauge(
+              "wisteriahoist_unavailable_seconds",
+              "Time in which ranges were assigned to this node but it held no lease."))
 { }
 
 NodeTelemetry::NodeTelemetry(const Clock &clock, NodeId self, const TraceSettings &trace)
@@ -147,13 +148,14 @@
       gateTracer_(clock, std::make_unique<MtRandomSource>(), trace, trace_.dropped),
       leaseUntil_(NeverTime.time_since_epoch().count())
 {
-    registry_.addComputed({"wisteriahoist_lease_left_seconds",
-                           "Time for which this node may still admit requests; 0 without a lease.",
-                           MetricKind::Gauge},
-                          {}, [this](TimePoint now) {
-                              const TimePoint until(Duration(leaseUntil_.load()));
-                              return until > now ? toSeconds(until - now) : 0.0;
-                          });
+    registry_.addComputed(
+            {"wisteriahoist_lease_left_seconds",
+             "Remaining time in which this node may admit requests; 0 without a lease.",
+             MetricKind::Gauge},
+            {}, [this](TimePoint now) {
+                const TimePoint until(Duration(leaseUntil_.load()));
+                return until > now ? toSeconds(until - now) : 0.0;
+            });
     registry_.addComputed({"wisteriahoist_peer_bytes_total", "Bytes on connections between nodes.",
                            MetricKind::Counter},
                           {{"direction", "sent"}},
@@ -164,7 +166,7 @@
                               return static_cast<double>(peerBytesReceived().load());
                           });
     registry_
-            .addGauge("wisteriahoist_build_info", "Always 1; the build is in the label.",
+            .addGauge("wisteriahoist_build_info", "Always 1; the labels contain the build version.",
                       {{"version", WISTERIAHOIST_VERSION}, {"node", std::to_string(self.value())}})
             .set(1);
 }
@@ -192,9 +194,10 @@
 void NodeTelemetry::addRing(const std::string &ring, std::function<double()> depth,
                             std::function<double()> refused)
 {
-    registry_.addComputed(
-            {"wisteriahoist_ring_depth", "Calls under way between two duties.", MetricKind::Gauge},
-            {{"ring", ring}}, [depth = std::move(depth)](TimePoint) { return depth(); });
+    registry_.addComputed({"wisteriahoist_ring_depth", "Calls in progress between two duties.",
+                           MetricKind::Gauge},
+                          {{"ring", ring}},
+                          [depth = std::move(depth)](TimePoint) { return depth(); });
     registry_.addComputed({"wisteriahoist_ring_refused_total",
                            "Calls refused because the ring was full.", MetricKind::Counter},
                           {{"ring", ring}},
@@ -204,7 +207,7 @@
 void NodeTelemetry::onGrant(const GateGrant &grant)
 {
     const TimePoint now = clock_.now();
-    // The lease lapsed between two grants if the older one ended before this one came.
+    // There was a time without a lease if the previous grant expired before this one arrived.
     if (ownedRanges_ && grantedAt_ != NeverTime && previousLease_ < now) {
         ownership_.unavailableSeconds.add(toSeconds(now - std::max(previousLease_, grantedAt_)));
     }
--- a/src/duty/node_telemetry.h
+++ b/src/duty/node_telemetry.h
@@ -1,4 +1,4 @@
-/** @file node_telemetry.h The metrics and the health of one node, fed by its duties. */
+/** @file node_telemetry.h Metrics, health and trace spans of one node, reported by its duties. */
 
 #pragma once
 
@@ -18,30 +18,30 @@
 /** @return done, not-run or unknown. */
 std::string_view hopOutcomeName(v1::HopOutcome outcome);
 
-/** What the ingress duty counts. */
+/** Metrics of the ingress duty. */
 struct IngressMetrics {
     explicit IngressMetrics(MetricRegistry &registry);
 
     LabelledCounter &requests; ///< By outcome: done, not-run, unknown, refused.
     LabelledCounter &notRun;   ///< By reason.
-    Distribution &duration;    ///< Seconds, from the whole request to the whole answer.
+    Distribution &duration;    ///< Seconds from the complete request to the complete response.
     Counter &forwarded;
     Counter &retries;
     Gauge &connections;
 };
 
-/** What the gate duty counts. */
+/** Metrics of the gate duty. */
 struct GateMetrics {
     explicit GateMetrics(MetricRegistry &registry);
 
-    LabelledCounter &requests; ///< By outcome, as the backend server or the gate ended them.
+    LabelledCounter &requests; ///< By outcome, from the backend server or the gate.
     LabelledCounter &notRun;   ///< By reason.
-    Counter &hops;             ///< Requests that came from other nodes.
-    Distribution &duration;    ///< Seconds in the gate, queue and backend server included.
-    Gauge &open;               ///< Waiting for a slot or running.
+    Counter &hops;             ///< Requests received from other nodes.
+    Distribution &duration;    ///< Seconds in the gate, including queue and backend server.
+    Gauge &open;               ///< Requests that wait for a slot or run.
 };
 
-/** What is known of ownership and configuration. */
+/** Metrics of ownership and configuration. */
 struct OwnershipMetrics {
     explicit OwnershipMetrics(MetricRegistry &registry);
 
@@ -51,26 +51,26 @@
     Gauge &configVersion;
     Gauge &ownedRanges;
     Gauge &members;
-    Gauge &shareImbalance; ///< Largest over mean number of ranges for each owner.
-    Gauge &loadImbalance;  ///< Largest over mean load; set by the coordinator only.
-    Counter &ownerChanges; ///< Churn: ranges whose owner differs from the assignment before.
+    Gauge &shareImbalance; ///< Largest divided by mean number of ranges per owner.
+    Gauge &loadImbalance;  ///< Largest divided by mean load; set only by the coordinator.
+    Counter &ownerChanges; ///< Churn: ranges with another owner than in the last assignment.
     Gauge &unavailableSeconds;
 };
 
 /**
- * Owned by the program; duties get a reference. The admin duty reads it. Nothing here takes a
- * lock: the values are atomics with one writer each.
+ * Owned by the program; duties get a reference, and the admin duty reads it. There are no locks:
+ * each value is an atomic with a single writer.
  */
 class NodeTelemetry
 {
 public:
-    /** @param trace Share of the requests that are traced, and whether spans are kept at all. */
+    /** @param trace Share of the requests that are traced, and whether spans are recorded. */
     NodeTelemetry(const Clock &clock, NodeId self, const TraceSettings &trace);
 
-    /** Watches the event loop of @p duty: a timer on it records each turn. */
+    /** Monitors the event loop of @p duty: a timer in it records that the loop is running. */
     void watchLoop(std::string_view duty, boost::asio::io_context &context);
 
-    /** Registers depth and refusals of a ring. @pre Called before the duties run. */
+    /** Registers metrics for depth and refusals of a ring. @pre The duties are not running yet. */
     template <typename Link>
     void watchRing(const std::string &ring, const Link &link)
     {
@@ -79,22 +79,22 @@
                 [&link]() { return static_cast<double>(link.refusedCount()); });
     }
 
-    /** The control duty told the gate something new. Called on the gate duty's thread. */
+    /** The gate duty received a grant from the control duty. Called on the gate duty's thread. */
     void onGrant(const GateGrant &grant);
 
-    /** The control duty made a new routing snapshot. Called on the ingress duty's thread. */
+    /** There is a new routing snapshot. Called on the ingress duty's thread. */
     void onRouting(const RoutingSnapshot &routing);
 
-    /** Begins the ingress span; @p request carries its context from then on. Ingress thread. */
+    /** Starts the ingress span and sets its context in @p request. Called on the ingress thread. */
     Span startIngressSpan(HttpRequest &request);
 
-    /** A caller was answered. Called on the ingress duty's thread. */
+    /** A response was sent to a caller. Called on the ingress duty's thread. */
     void onAnswer(const HttpResponse &response, TimePoint startedAt, Span span);
 
-    /** A caller's request ended, after its retries. Called on the ingress duty's thread. */
+    /** A caller's request ended, including its retries. Called on the ingress duty's thread. */
     void onOutcome(const v1::HopReply &reply);
 
-    /** The gate ended a request. Called on the gate duty's thread. */
+    /** The gate has replied to a request. Called on the gate duty's thread. */
     void onGateReply(const v1::HopReply &reply, TimePoint startedAt);
 
     HttpResponse metricsPage() const;
@@ -114,7 +114,7 @@
 private:
     struct WatchedLoop {
         std::string_view duty;
-        std::atomic<int64_t> turnedAt{0}; ///< Nanoseconds on the clock.
+        std::atomic<int64_t> turnedAt{0}; ///< Last run, in nanoseconds of the clock.
     };
 
     boost::asio::awaitable<void> turnLoop(boost::asio::io_context &context, WatchedLoop &loop);
@@ -132,7 +132,7 @@
     TraceMetrics trace_;
     DutyTracer ingressTracer_;
     DutyTracer gateTracer_;
-    std::deque<WatchedLoop> loops_; ///< A deque, since coroutines keep references.
+    std::deque<WatchedLoop> loops_; ///< A deque, because coroutines hold references.
     std::atomic<int64_t> leaseUntil_;
     std::atomic<bool> routingPresent_{false};
     std::atomic<bool> backendAnnounced_{false};
--- a/src/duty/record_feed.cpp
+++ b/src/duty/record_feed.cpp
@@ -1,4 +1,5 @@
-/** @file record_feed.cpp One kind of the store's records, kept for nodes that follow this one. */
+/** @file record_feed.cpp Changes to one kind of store record, kept for nodes that follow this one.
+ */
 
 #include "duty/record_feed.h"
 
--- a/src/duty/record_feed.h
+++ b/src/duty/record_feed.h
@@ -1,4 +1,4 @@
-/** @file record_feed.h One kind of the store's records, kept for nodes that follow this one. */
+/** @file record_feed.h Changes to one kind of store record, kept for nodes that follow this one. */
 
 #pragma once
 
@@ -11,34 +11,34 @@
 namespace wisteriahoist {
 
 /**
- * What this node has seen of one kind of records: the newest state of each, and until which
- * revision nothing is missing. Used by one thread.
+ * The latest known change to each record of one kind, and the revision up to which the feed is
+ * complete. Used by one thread.
  */
 class RecordFeed
 {
 public:
-    /** All records have been listed. */
+    /** Resets the feed to a complete listing. */
     void onList(const RecordListing &listing, TimePoint confirmedAt);
 
-    /** Changes after the last revision have come. */
+    /** Adds changes received after the last revision. */
     void onChanges(const RecordChanges &changes, TimePoint confirmedAt);
 
-    /** What was seen may be incomplete from now on, until the next list. */
+    /** Marks the feed as possibly incomplete until the next listing. */
     void onLost() { valid_ = false; }
 
-    /** @return Changes after @p since; nothing if some may be missing. */
+    /** @return Changes after @p since; nullopt if some may be missing. */
     std::optional<RecordChanges> changesSince(StoreRevision since) const;
 
-    /** @return The last moment at which the store had nothing newer; NeverTime: not known. */
+    /** @return The last time at which the store had nothing newer; NeverTime: not known. */
     TimePoint confirmedAt() const { return valid_ ? confirmedAt_ : NeverTime; }
 
-    /** @return Until which revision nothing is missing. */
+    /** @return The revision up to which the feed is complete. */
     StoreRevision at() const { return at_; }
 
 private:
-    /// Newest change of each record. One that was removed is kept, so that followers hear of it.
+    /// Latest change to each record. Removed records are kept so that followers are notified.
     std::map<std::string, RecordChange> records_;
-    StoreRevision listedAt_; ///< What was removed before is not among the records.
+    StoreRevision listedAt_; ///< Earlier removals are not in records_.
     StoreRevision at_;
     TimePoint confirmedAt_ = NeverTime;
     bool valid_ = false;
--- a/src/duty/shared_watch.cpp
+++ b/src/duty/shared_watch.cpp
@@ -1,4 +1,4 @@
-/** @file shared_watch.cpp Watches of the store that many nodes share. */
+/** @file shared_watch.cpp Watches of the store that are shared by many nodes. */
 
 #include "duty/shared_watch.h"
 
@@ -14,7 +14,8 @@
 
 constexpr std::string_view FeedPath = "/feed";
 
-/** The store's watch would go on with what it knows; a list tells for certain. */
+/** @return A failure that makes the caller list: a new watch would continue from a state that may
+ * be incomplete. */
 Failure listAgain(const std::string &cause)
 {
     return {FailureCode::HistoryGone, cause};
@@ -47,7 +48,7 @@
                  [this](std::string body) { return serve(std::move(body)); });
 }
 
-milliseconds SharedWatch::waitOf(RecordKind kind) const
+milliseconds SharedWatch::watchDuration(RecordKind kind) const
 {
     return kind == RecordKind::Configuration ? times_.configWait : times_.otherWait;
 }
@@ -56,7 +57,7 @@
 {
     const auto found = feeds_.find(kind);
     const TimePoint confirmed = found == feeds_.end() ? NeverTime : found->second.confirmedAt();
-    return confirmed != NeverTime && now - confirmed <= waitOf(kind) + times_.margin;
+    return confirmed != NeverTime && now - confirmed <= watchDuration(kind) + times_.margin;
 }
 
 RecordStore::Pending<RecordListing> SharedWatch::list(RecordKind kind)
@@ -87,16 +88,16 @@
     co_return co_await store_.replace(kind, std::move(name), expected, std::move(content));
 }
 
-std::optional<NodeId> SharedWatch::chooseWhomToFollow(TimePoint now) const
+std::optional<NodeId> SharedWatch::findUsableFeeder(TimePoint now) const
 {
     const auto isUsable = [this, now](NodeId node) {
-        const auto found = shunned_.find(node);
-        return found == shunned_.end() || now >= found->second.until;
+        const auto found = backoffs_.find(node);
+        return found == backoffs_.end() || now >= found->second.until;
     };
-    const auto shunned = std::count_if(shunned_.begin(), shunned_.end(), [now](const auto &entry) {
-        return now < entry.second.until;
-    });
-    if (static_cast<size_t>(shunned) >= times_.mostShunned) {
+    const auto backedOff
+            = std::count_if(backoffs_.begin(), backoffs_.end(),
+                            [now](const auto &entry) { return now < entry.second.until; });
+    if (static_cast<size_t>(backedOff) >= times_.maxBackedOff) {
         return std::nullopt;
     }
     return chooseFeeder(view_.members(), self_, failureDomain_, isUsable, limits_);
@@ -106,13 +107,13 @@
                                                        milliseconds wait)
 {
     const TimePoint now = clock_.now();
-    // The size of the fleet is not known before its members are; a watch of many seconds that is
-    // begun by then confirms nothing to followers for as long.
-    const bool isLarge = view_.members().size() >= limits_.leastMembers;
-    if (isLarge || !isSettled(now)) {
-        wait = std::min(wait, isLarge ? waitOf(kind) : times_.settle);
+    // The fleet size is unknown until the members have been received; a watch of many seconds that
+    // starts before would confirm nothing to followers for its whole duration.
+    const bool isLarge = view_.members().size() >= limits_.minMembers;
+    if (isLarge || !isPastStartup(now)) {
+        wait = std::min(wait, isLarge ? watchDuration(kind) : times_.startupPeriod);
     }
-    const std::optional<NodeId> feeder = chooseWhomToFollow(now);
+    const std::optional<NodeId> feeder = findUsableFeeder(now);
     following_ = feeder.has_value();
     if (following_) {
         const MemberRecord member = *view_.findMember(*feeder);
@@ -147,40 +148,40 @@
     const bool whole
             = bytes && !bytes.assume_value().empty() && reply.ParseFromString(bytes.assume_value());
     const TimePoint now = clock_.now();
-    if ((!whole || !reply.fresh()) && !isSettled(now)) {
-        shunned_[feeder.node].until = now + times_.earlyShun;
+    if ((!whole || !reply.fresh()) && !isPastStartup(now)) {
+        backoffs_[feeder.node].until = now + times_.startupBackoff;
         following_ = false;
         co_return co_await watchStore(kind, since, wait);
     }
     if (!whole || !reply.fresh()) {
-        shun(feeder.node, now);
-        logEvent(LogEvent::FeederLost,
-                 {{"feeder", feeder.name},
-                  {"kind", static_cast<int64_t>(kind)},
-                  {"cause", whole ? std::string("its news are old") : std::string("no answer")}});
-        co_return listAgain("the feeder has no news");
+        backOff(feeder.node, now);
+        logEvent(LogEvent::FeederLost, {{"feeder", feeder.name},
+                                        {"kind", static_cast<int64_t>(kind)},
+                                        {"cause", whole ? std::string("its records are stale")
+                                                        : std::string("no valid reply")}});
+        co_return listAgain("feeder failed or is stale; listing the records from the store");
     }
-    shunned_.erase(feeder.node);
+    backoffs_.erase(feeder.node);
     RecordChanges changes;
     changes.at = StoreRevision(reply.revision());
     for (const v1::StoreRecord &record : reply.records()) {
         changes.changes.push_back(decodeChange(record));
     }
-    // This node may be the next feeder. Without these its feed would have a gap, and followers that
-    // are behind it would never hear of what fell into it. The store has confirmed nothing to it.
+    // This node may become a feeder. Without these changes its feed would have a gap, and followers
+    // would never receive what is in it. NeverTime: the store itself has confirmed nothing to it.
     feeds_[kind].onChanges(changes, NeverTime);
     co_return changes;
 }
 
-void SharedWatch::shun(NodeId feeder, TimePoint now)
+void SharedWatch::backOff(NodeId feeder, TimePoint now)
 {
-    Shun &entry = shunned_[feeder];
+    Backoff &entry = backoffs_[feeder];
     if (now < entry.until) {
-        return; // Calls for other kinds of records have failed at the same time.
+        return; // Already backed off by a concurrent call for another kind of record.
     }
-    const milliseconds time = std::max(entry.next, times_.firstShun);
+    const milliseconds time = std::max(entry.next, times_.minBackoff);
     entry.until = now + time;
-    entry.next = std::min(time * 2, times_.longestShun);
+    entry.next = std::min(time * 2, times_.maxBackoff);
 }
 
 asio::awaitable<std::string> SharedWatch::serve(std::string body)
@@ -203,11 +204,11 @@
     v1::FeedReply reply;
     while (true) {
         const TimePoint now = clock_.now();
-        // A follower of another node would pass on news that are older than it can tell.
+        // A follower doesn't know how old its changes are, so it must not pass them on.
         const auto changes = following_ || !isFresh(kind, now) ? std::nullopt
                                                                : feeds_[kind].changesSince(since);
         reply.set_fresh(changes.has_value());
-        if (!changes && now - begun >= times_.becomeFresh) {
+        if (!changes && now - begun >= times_.freshnessTimeout) {
             co_return reply;
         }
         if (changes && (!changes->changes.empty() || now >= end)) {
@@ -217,8 +218,8 @@
             }
             co_return reply;
         }
-        const TimePoint stale = feeds_[kind].confirmedAt() + waitOf(kind) + times_.margin;
-        const TimePoint next = changes ? std::min(end, stale) : begun + times_.becomeFresh;
+        const TimePoint stale = feeds_[kind].confirmedAt() + watchDuration(kind) + times_.margin;
+        const TimePoint next = changes ? std::min(end, stale) : begun + times_.freshnessTimeout;
         asio::steady_timer timer(context_, next - now + milliseconds(1));
         waiting_.insert(&timer);
         boost::system::error_code ignored;
--- a/src/duty/shared_watch.h
+++ b/src/duty/shared_watch.h
@@ -1,4 +1,4 @@
-/** @file shared_watch.h Watches of the store that many nodes share. */
+/** @file shared_watch.h Watches of the store that are shared by many nodes. */
 
 #pragma once
 
@@ -14,45 +14,48 @@
 
 namespace wisteriahoist {
 
-/** Times of shared watches, by what the news are needed for. */
+/** Intervals and timeouts of shared watches. */
 struct SharedWatchTimes {
     /**
-     * A feeder's own watch of the store; its end without a change confirms that there is none. A
-     * configuration has to be in force within 2 s, members and ranges only cost a detour.
+     * Duration of a feeder's watch of the store; if it ends without a change, that confirms that
+     * there was none. A configuration must take effect within 2 s; outdated members and ranges only
+     * cost an extra hop.
      */
     milliseconds configWait{800};
     milliseconds otherWait{2000};
-    /** What a feeder has not confirmed for this much longer than its wait is not passed on as
-     *  news: the slowest answers of the store take 0.4 s. */
+    /** Time allowed beyond a feeder's watch until its state is considered stale: the slowest
+     *  responses of the store take 0.4 s. */
     milliseconds margin{600};
-    /** One call of a follower; the feeder answers it sooner if there is a change. */
+    /** Duration of a follower's call; the feeder responds earlier if there is a change. */
     milliseconds followWait{1000};
     milliseconds followTimeout{1300};
     /**
-     * For so long after its start a node that a feeder turns away asks the store where it stands,
-     * without a list: feeders that started with it know too little as yet, and it has listed just
-     * before. When all 296 nodes of a fleet started, each listed once for every feeder.
+     * Period after its start in which a node that is rejected by a feeder watches the store itself
+     * instead of listing again: feeders that started at the same time are not up to date yet, and
+     * the node has just listed. Without it, when all 296 nodes of a fleet started, each listed once
+     * per feeder.
      */
-    milliseconds settle{3000};
-    milliseconds earlyShun{500};  ///< A feeder that turned a node away in that time is left out.
-    milliseconds firstShun{2000}; ///< A feeder that failed is left out; doubles with each failure.
-    milliseconds longestShun{30000};
-    /** With so many feeders left out, a node watches the store itself: it lists after each feeder
-     *  that fails, and what ails so many ails the others too. */
-    size_t mostShunned = 3;
-    /** A node that takes a lost feeder's place has to list first; its followers wait so long. */
-    milliseconds becomeFresh{150};
+    milliseconds startupPeriod{3000};
+    milliseconds startupBackoff{500}; ///< How long a feeder is skipped that rejects the node then.
+    milliseconds minBackoff{2000};    ///< How long a failed feeder is skipped; doubles each time.
+    milliseconds maxBackoff{30000};
+    /** With this many feeders skipped, a node watches the store itself: each failed feeder costs a
+     *  list, and when so many fail, the others are likely to fail as well. */
+    size_t maxBackedOff = 3;
+    /** How long a call waits for a stale feeder: a node that replaces a lost feeder has to list
+     *  first. */
+    milliseconds freshnessTimeout{150};
 };
 
 /**
- * The store as a member of a large fleet watches it. A few nodes, the feeders, watch it themselves;
- * all others ask a feeder. If every node watched, each change would wake a watch of every node: on
- * a fleet of 91 that were 100 calls of the store for each node in 40 s, a seventh of all that the
- * day was worth.
+ * Access to the store in a large fleet. A few nodes, the feeders, watch the store; all others, the
+ * followers, receive changes from a feeder. If every node watched, each change would wake a watch
+ * of every node: in a fleet of 91, that took 100 store calls per node in 40 s, which cost a seventh
+ * of the day's total value.
  *
- * A feeder tells how long ago the store has confirmed its news, and ends a call as soon as that is
- * too long. So a follower is never behind for longer than a feeder's confirmation lasts: it then
- * lists the records itself and follows another feeder, or none.
+ * A feeder tracks when the store last confirmed its state, and ends a follower's call as soon as
+ * that confirmation is too old. So a follower is never behind for longer than a confirmation is
+ * valid: it then lists the records itself and follows another feeder, or none.
  */
 class SharedWatch final : public RecordStore
 {
@@ -69,20 +72,20 @@
     Pending<RecordChanges> watch(RecordKind kind, StoreRevision since, milliseconds wait) override;
 
 private:
-    /** Why a feeder is left out. */
-    struct Shun {
+    /** Back-off of a feeder that is skipped. */
+    struct Backoff {
         TimePoint until = NeverTime;
         milliseconds next{0};
     };
 
-    milliseconds waitOf(RecordKind kind) const;
+    milliseconds watchDuration(RecordKind kind) const;
     bool isFresh(RecordKind kind, TimePoint now) const;
     Pending<RecordChanges> watchStore(RecordKind kind, StoreRevision since, milliseconds wait);
-    bool isSettled(TimePoint now) const { return now - startedAt_ >= times_.settle; }
-    std::optional<NodeId> chooseWhomToFollow(TimePoint now) const;
+    bool isPastStartup(TimePoint now) const { return now - startedAt_ >= times_.startupPeriod; }
+    std::optional<NodeId> findUsableFeeder(TimePoint now) const;
     Pending<RecordChanges> follow(MemberRecord feeder, RecordKind kind, StoreRevision since,
                                   milliseconds wait);
-    void shun(NodeId feeder, TimePoint now);
+    void backOff(NodeId feeder, TimePoint now);
     asio::awaitable<std::string> serve(std::string body);
     asio::awaitable<v1::FeedReply> answer(v1::FeedRequest request);
     void wakeFollowers();
@@ -98,9 +101,9 @@
     SharedWatchTimes times_;
     TimePoint startedAt_;
     std::map<RecordKind, RecordFeed> feeds_;
-    std::map<NodeId, Shun> shunned_;
-    std::set<asio::steady_timer *> waiting_; ///< Of followers' calls that wait for a change.
-    bool following_ = false;                 ///< This node follows another one: it is no feeder.
+    std::map<NodeId, Backoff> backoffs_;
+    std::set<asio::steady_timer *> waiting_; ///< Timers of followers' calls that wait for a change.
+    bool following_ = false; ///< This node follows a feeder, so it isn't one itself.
 };
 
 } // namespace wisteriahoist
--- a/src/duty/store_relay.cpp
+++ b/src/duty/store_relay.cpp
@@ -1,4 +1,4 @@
-/** @file store_relay.cpp The store for a node that cannot reach it itself. */
+/** @file store_relay.cpp Access to the store through another node. */
 
 #include "duty/store_relay.h"
 
@@ -11,11 +11,11 @@
 namespace {
 
 constexpr std::string_view StorePath = "/store";
-constexpr size_t MostHelpers = 3; ///< Asked in turn before the store counts as away for everyone.
+constexpr size_t MaxRelaysTried = 3; ///< Before the store is considered down for all nodes.
 
 enum class RelayCall : uint32_t { List = 1, Read, Create, Replace };
 
-/** @return Whether the failure is of the way to the store, not the store's own answer. */
+/** @return Whether the store could not be reached, as opposed to an error returned by the store. */
 bool isLost(const Failure &failure)
 {
     return failure.code == FailureCode::Unavailable || failure.code == FailureCode::Ambiguous
@@ -62,7 +62,7 @@
     }
     const uint32_t code = reply.failure() - 1;
     if (code > static_cast<uint32_t>(FailureCode::HistoryGone)) {
-        return Failure{FailureCode::Malformed, "unknown failure code"};
+        return Failure{FailureCode::Malformed, "store relay returned an unknown failure code"};
     }
     return Failure{static_cast<FailureCode>(code), reply.cause()};
 }
@@ -77,17 +77,17 @@
                  [this](std::string body) { return serve(std::move(body)); });
 }
 
-bool RelayedStore::noteDirect(const Failure *failure)
+bool RelayedStore::updateDirectAccess(const Failure *failure)
 {
     if (failure == nullptr || !isLost(*failure)) {
-        directAt_ = NeverTime;
+        nextDirectAttempt_ = NeverTime;
         return false;
     }
-    directAt_ = clock_.now() + times_.directPause;
+    nextDirectAttempt_ = clock_.now() + times_.directRetryDelay;
     return true;
 }
 
-RecordStore::Pending<v1::StoreReply> RelayedStore::ask(MemberRecord member, std::string body)
+RecordStore::Pending<v1::StoreReply> RelayedStore::callRelay(MemberRecord member, std::string body)
 {
     Result<std::string> bytes
             = co_await peers_.call(member, StorePath, std::move(body), times_.callTimeout);
@@ -96,7 +96,7 @@
     }
     v1::StoreReply reply;
     if (bytes.assume_value().empty() || !reply.ParseFromString(bytes.assume_value())) {
-        co_return Failure{FailureCode::Malformed, "unreadable reply of a relay"};
+        co_return Failure{FailureCode::Malformed, "malformed reply from the store relay"};
     }
     const std::optional<Failure> failure = failureOf(reply);
     if (failure && isLost(*failure)) {
@@ -107,22 +107,23 @@
 
 RecordStore::Pending<v1::StoreReply> RelayedStore::relay(v1::StoreRequest request)
 {
-    if (clock_.now() < relayAt_) {
-        co_return Failure{FailureCode::Unavailable, "the store is away for other nodes too"};
+    if (clock_.now() < nextRelayAttempt_) {
+        co_return Failure{FailureCode::Unavailable, "store unavailable: other nodes could not "
+                                                    "reach it either; not asking them again yet"};
     }
-    std::vector<MemberRecord> helpers;
+    std::vector<MemberRecord> relays;
     for (const auto &[node, member] : view_.members()) {
         if (node != self_ && !member.stopping) {
-            helpers.insert(node == helper_ ? helpers.begin() : helpers.end(), member);
+            relays.insert(node == relayNode_ ? relays.begin() : relays.end(), member);
         }
     }
     const std::string body = request.SerializeAsString();
-    for (size_t index = 0; index < std::min(helpers.size(), MostHelpers); ++index) {
-        Result<v1::StoreReply> reply = co_await ask(helpers[index], body);
+    for (size_t index = 0; index < std::min(relays.size(), MaxRelaysTried); ++index) {
+        Result<v1::StoreReply> reply = co_await callRelay(relays[index], body);
         if (reply) {
-            if (helper_ != helpers[index].node) {
-                helper_ = helpers[index].node;
-                logEvent(LogEvent::StoreRelayed, {{"through", helpers[index].name}});
+            if (relayNode_ != relays[index].node) {
+                relayNode_ = relays[index].node;
+                logEvent(LogEvent::StoreRelayed, {{"through", relays[index].name}});
             }
             if (const auto failure = failureOf(reply.assume_value())) {
                 co_return *failure;
@@ -130,16 +131,16 @@
             co_return std::move(reply.assume_value());
         }
     }
-    helper_ = InvalidNode;
-    relayAt_ = clock_.now() + times_.relayPause;
-    co_return Failure{FailureCode::Unavailable, "no other node reaches the store"};
+    relayNode_ = InvalidNode;
+    nextRelayAttempt_ = clock_.now() + times_.relayRetryDelay;
+    co_return Failure{FailureCode::Unavailable, "store unavailable: no other node could reach it"};
 }
 
 RecordStore::Pending<RecordListing> RelayedStore::list(RecordKind kind)
 {
     if (isDirect()) {
         Result<RecordListing> listing = co_await direct_.list(kind);
-        if (!noteDirect(listing ? nullptr : &listing.assume_error())) {
+        if (!updateDirectAccess(listing ? nullptr : &listing.assume_error())) {
             co_return listing;
         }
     }
@@ -160,7 +161,7 @@
 {
     if (isDirect()) {
         Result<StoredRecord> record = co_await direct_.read(kind, name);
-        if (!noteDirect(record ? nullptr : &record.assume_error())) {
+        if (!updateDirectAccess(record ? nullptr : &record.assume_error())) {
             co_return record;
         }
     }
@@ -170,7 +171,8 @@
         co_return std::move(reply).as_failure();
     }
     if (reply.assume_value().records_size() != 1) {
-        co_return Failure{FailureCode::Malformed, "one record is expected"};
+        co_return Failure{FailureCode::Malformed,
+                          "store relay reply must contain exactly one record"};
     }
     co_return toRecord(reply.assume_value().records(0));
 }
@@ -189,7 +191,7 @@
 {
     if (isDirect()) {
         Result<StoreRevision> revision = co_await direct_.create(kind, name, content);
-        if (!noteDirect(revision ? nullptr : &revision.assume_error())) {
+        if (!updateDirectAccess(revision ? nullptr : &revision.assume_error())) {
             co_return revision;
         }
     }
@@ -203,7 +205,7 @@
 {
     if (isDirect()) {
         Result<StoreRevision> revision = co_await direct_.replace(kind, name, expected, content);
-        if (!noteDirect(revision ? nullptr : &revision.assume_error())) {
+        if (!updateDirectAccess(revision ? nullptr : &revision.assume_error())) {
             co_return revision;
         }
     }
@@ -214,15 +216,17 @@
 RecordStore::Pending<RecordChanges> RelayedStore::watch(RecordKind kind, StoreRevision since,
                                                         milliseconds wait)
 {
-    // A watch would keep a call of the helper's waiting for each kind; listing now and then is
-    // enough while the own way is closed.
+    // A relayed watch would keep a call open at the relaying node for each kind of record; periodic
+    // lists are sufficient while direct access fails.
     if (!isDirect()) {
-        co_await sleepFor(times_.watchPause);
-        co_return Failure{FailureCode::Unavailable, "no watch through another node"};
+        co_await sleepFor(times_.listInterval);
+        co_return Failure{
+                FailureCode::Unavailable,
+                "watches are not relayed; records are listed until the store is reached directly"};
     }
     Result<RecordChanges> changes = co_await direct_.watch(kind, since, wait);
     if (!changes && changes.assume_error().code != FailureCode::Ambiguous) {
-        (void)noteDirect(&changes.assume_error());
+        (void)updateDirectAccess(&changes.assume_error());
     }
     co_return changes;
 }
@@ -233,21 +237,22 @@
     v1::StoreReply reply;
     if (!request.ParseFromString(body)
         || request.kind() > static_cast<uint32_t>(RecordKind::Leases)) {
-        setFailure(reply, {FailureCode::Malformed, "unreadable request"});
+        setFailure(reply, {FailureCode::Malformed, "malformed store request"});
     } else if (!isDirect()) {
-        setFailure(reply, {FailureCode::Unavailable, "the store does not answer this node"});
+        setFailure(reply,
+                   {FailureCode::Unavailable, "the relaying node can't reach the store either"});
     } else {
-        reply = co_await run(std::move(request));
+        reply = co_await execute(std::move(request));
     }
     co_return reply.SerializeAsString();
 }
 
-boost::asio::awaitable<v1::StoreReply> RelayedStore::run(v1::StoreRequest request)
+boost::asio::awaitable<v1::StoreReply> RelayedStore::execute(v1::StoreRequest request)
 {
     v1::StoreReply reply;
     const auto kind = static_cast<RecordKind>(request.kind());
     const StoreRevision expected(request.revision());
-    Result<StoreRevision> written = Failure{FailureCode::Malformed, "unknown call"};
+    Result<StoreRevision> written = Failure{FailureCode::Malformed, "unknown store call"};
     switch (static_cast<RelayCall>(request.call())) {
     case RelayCall::List: {
         Result<RecordListing> listing = co_await direct_.list(kind);
--- a/src/duty/store_relay.h
+++ b/src/duty/store_relay.h
@@ -1,4 +1,4 @@
-/** @file store_relay.h The store for a node that cannot reach it itself: through another node. */
+/** @file store_relay.h Access to the store through another node if it can't be reached directly. */
 
 #pragma once
 
@@ -10,24 +10,25 @@
 
 namespace wisteriahoist {
 
-/** Times of the relay. */
+/** Intervals and timeouts of the relay. */
 struct RelayTimes {
-    /** After a failure the own way is tried again this late: each try may take a whole timeout. */
-    milliseconds directPause{700};
-    /** After no other node could help: then the store itself is away, and asking costs calls. */
-    milliseconds relayPause{1000};
-    /** Between two lists while watches are not to be had. */
-    milliseconds watchPause{1000};
+    /** Until direct access is retried after a failure: each attempt may take a whole timeout. */
+    milliseconds directRetryDelay{700};
+    /** Until other nodes are asked again after none reached the store: it is down for all then, and
+     *  each attempt costs calls. */
+    milliseconds relayRetryDelay{1000};
+    /** Between two lists while watches are not available. */
+    milliseconds listInterval{1000};
     milliseconds callTimeout{1000};
 };
 
 /**
- * A store may answer some nodes and refuse others, for longer than a lease lasts. A node in that
- * place would stop granting keys and follow neither members nor ranges, though all its neighbours
- * still reach the store. Its calls go through one of them instead.
+ * A store may answer some nodes and reject others for longer than a lease lasts. A rejected node
+ * would stop granting keys and miss changes of members and ranges, although other nodes still reach
+ * the store. Its calls are relayed through one of those instead.
  *
- * Sending a conditional write a second time over another way is safe: whichever arrives first
- * changes the revision, and the other one fails.
+ * Repeating a conditional write over another path is safe: the first one to arrive changes the
+ * revision, and the other one fails.
  */
 class RelayedStore final : public RecordStore
 {
@@ -45,11 +46,11 @@
 private:
     Pending<v1::StoreReply> relay(v1::StoreRequest request);
     Pending<StoreRevision> relayWrite(v1::StoreRequest request);
-    Pending<v1::StoreReply> ask(MemberRecord member, std::string body);
+    Pending<v1::StoreReply> callRelay(MemberRecord member, std::string body);
     boost::asio::awaitable<std::string> serve(std::string body);
-    boost::asio::awaitable<v1::StoreReply> run(v1::StoreRequest request);
-    bool isDirect() const { return clock_.now() >= directAt_; }
-    bool noteDirect(const Failure *failure);
+    boost::asio::awaitable<v1::StoreReply> execute(v1::StoreRequest request);
+    bool isDirect() const { return clock_.now() >= nextDirectAttempt_; }
+    bool updateDirectAccess(const Failure *failure);
 
     RecordStore &direct_;
     const Clock &clock_;
@@ -57,9 +58,9 @@
     FleetView &view_;
     NodeId self_;
     RelayTimes times_;
-    TimePoint directAt_ = NeverTime; ///< The own way is tried again then.
-    TimePoint relayAt_ = NeverTime;  ///< Other nodes are asked again then.
-    NodeId helper_;                  ///< Who helped last.
+    TimePoint nextDirectAttempt_ = NeverTime; ///< When direct access is tried again.
+    TimePoint nextRelayAttempt_ = NeverTime;  ///< When other nodes are asked again.
+    NodeId relayNode_;                        ///< The node that relayed last.
 };
 
 } // namespace wisteriahoist
--- a/src/duty/store_sync.cpp
+++ b/src/duty/store_sync.cpp
@@ -1,4 +1,4 @@
-/** @file store_sync.cpp Keeps the fleet view up to date. */
+/** @file store_sync.cpp Keeps the fleet view up to date by listing and watching the store. */
 
 #include "duty/store_sync.h"
 
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** While the store is away only this loop asks: each call is paid for, also a refused one. */
+/** The only kind that is retried while the store is unavailable: rejected calls have a cost too. */
 constexpr RecordKind ProbingKind = RecordKind::Configuration;
 
 } // namespace
@@ -31,15 +31,15 @@
     for (const RecordKind kind :
          {RecordKind::Configuration, RecordKind::Members, RecordKind::Ranges}) {
         const auto loop = [this, kind]() { return run(kind); };
-        lags_.try_emplace(kind, times_.longestLag);
+        lags_.try_emplace(kind, times_.maxLag);
         asio::co_spawn(context_, loop, asio::detached);
     }
 }
 
 void StoreSync::onPeerRevisions(const KnownRevisions &news, TimePoint now)
 {
-    // In a large fleet calls of watches are short anyway; while the store is away the loop lists.
-    if (lost_ || view_.members().size() >= times_.leastMembers) {
+    // In a large fleet watches are short anyway; while the store is unavailable the loop lists.
+    if (unavailable_ || view_.members().size() >= times_.minMembers) {
         return;
     }
     for (const auto &[kind, newest] : news) {
@@ -56,15 +56,15 @@
 void StoreSync::onRecord(RecordKind kind, const StoredRecord &record)
 {
     if (kind == RecordKind::Members || kind == RecordKind::Ranges) {
-        take(kind, record);
+        applyRecord(kind, record);
     }
 }
 
-/** Lists beside the silent watch, which is left to its time limit. */
+/** Lists the records while the silent watch continues until its timeout. */
 asio::awaitable<void> StoreSync::catchUp(RecordKind kind)
 {
-    (void)co_await list(kind); // A failure shows as well: the peers' news go on to be ahead.
-    co_await sleepFor(times_.longestPause);
+    (void)co_await list(kind); // After a failure the lag persists, and the list is repeated.
+    co_await sleepFor(times_.maxPause);
     catchingUp_.erase(kind);
 }
 
@@ -80,24 +80,25 @@
             next = co_await list(kind);
         }
         if (next) {
-            note(kind, nullptr);
+            updateAvailability(kind, nullptr);
             at = next.assume_value();
             pause = times_.firstPause;
             co_await sleepFor(gapAfter(kind));
             continue;
         }
-        // A watch that was cut may have missed changes whose history is gone. The store says so
-        // only when the next change comes, which may be many seconds later; a list tells at once.
+        // An interrupted watch may have missed changes that are no longer in the store's history. A
+        // new watch would report that only with the next change, which may be many seconds later; a
+        // list returns the current state at once.
         at.reset();
         const Failure &failure = next.assume_error();
         if (failure.code == FailureCode::HistoryGone) {
             continue;
         }
-        note(kind, &failure);
+        updateAvailability(kind, &failure);
         co_await sleepFor(pause);
         const auto members = static_cast<int64_t>(view_.members().size());
-        pause = std::min(pause * 2, times_.longestPause + times_.pausePerMember * members);
-        while (lost_ && kind != ProbingKind) {
+        pause = std::min(pause * 2, times_.maxPause + times_.pausePerMember * members);
+        while (unavailable_ && kind != ProbingKind) {
             co_await sleepFor(times_.firstPause);
         }
     }
@@ -105,18 +106,20 @@
 
 milliseconds StoreSync::gapAfter(RecordKind kind)
 {
-    // A node that has just started knows few members, whatever the size of the fleet.
-    const bool grows = kind == RecordKind::Members || view_.members().size() >= times_.leastMembers;
-    if (kind == RecordKind::Configuration || !grows) {
+    // A node that has just started knows few members, even in a large fleet.
+    const bool gapGrows
+            = kind == RecordKind::Members || view_.members().size() >= times_.minMembers;
+    if (kind == RecordKind::Configuration || !gapGrows) {
         return times_.gap;
     }
     const auto members = static_cast<int64_t>(view_.members().size());
-    const milliseconds most
+    const milliseconds maxGap
             = kind == RecordKind::Members
-                      ? times_.longestMemberGap
-                      : std::max(times_.longestRangeGap, times_.rangeGapPerMember * members);
+                      ? times_.maxMemberGap
+                      : std::max(times_.maxRangeGap, times_.rangeGapPerMember * members);
     Recent &recent = recent_[kind];
-    recent.gap = recent.changed ? std::min(std::max(times_.gap, recent.gap * 2), most) : times_.gap;
+    recent.gap
+            = recent.changed ? std::min(std::max(times_.gap, recent.gap * 2), maxGap) : times_.gap;
     return recent.gap;
 }
 
@@ -127,7 +130,7 @@
         co_return std::move(listing).as_failure();
     }
     for (const StoredRecord &record : listing.assume_value().records) {
-        take(kind, record);
+        applyRecord(kind, record);
     }
     lags_.at(kind).onPosition(listing.assume_value().at);
     co_return listing.assume_value().at;
@@ -142,16 +145,16 @@
     recent_[kind].changed = !changes.assume_value().changes.empty();
     for (const RecordChange &change : changes.assume_value().changes) {
         if (change.removed) {
-            takeRemoved(kind, change.record.name);
+            applyRemoval(kind, change.record.name);
         } else {
-            take(kind, change.record);
+            applyRecord(kind, change.record);
         }
     }
     lags_.at(kind).onPosition(changes.assume_value().at);
     co_return changes.assume_value().at;
 }
 
-void StoreSync::take(RecordKind kind, const StoredRecord &record)
+void StoreSync::applyRecord(RecordKind kind, const StoredRecord &record)
 {
     newest_[kind] = std::max(newest_[kind], record.revision);
     if (kind == RecordKind::Configuration) {
@@ -181,20 +184,20 @@
     view_.onRangeRecord(record);
 }
 
-void StoreSync::takeRemoved(RecordKind kind, const std::string &name)
+void StoreSync::applyRemoval(RecordKind kind, const std::string &name)
 {
     if (kind == RecordKind::Members) {
         view_.onMemberRemoved(name);
     }
 }
 
-void StoreSync::note(RecordKind kind, const Failure *failure)
+void StoreSync::updateAvailability(RecordKind kind, const Failure *failure)
 {
     const bool lost = failure != nullptr;
-    if (lost == lost_) {
+    if (lost == unavailable_) {
         return;
     }
-    lost_ = lost;
+    unavailable_ = lost;
     if (lost) {
         logEvent(LogEvent::PlatformUnavailable,
                  {{"kind", std::string(recordKindName(kind))}, {"cause", failure->context}});
