--- a/src/duty/store_sync.h
+++ b/src/duty/store_sync.h
@@ -1,4 +1,4 @@
-/** @file store_sync.h Keeps the fleet view up to date: lists, then watches each kind of record. */
+/** @file store_sync.h Keeps the fleet view up to date by listing and watching the store. */
 
 #pragma once
 
@@ -11,43 +11,44 @@
 
 namespace wisteriahoist {
 
-/** Turns the operators' configuration record into the product's form. */
+/** Decodes the operators' configuration record. */
 using ConfigDecoder = std::function<Result<RouteConfig>(std::string_view content)>;
 
-/** Times of the watches. */
+/** Intervals and limits of the watches. */
 struct SyncTimes {
-    milliseconds wait{20000}; ///< Of one watch; each one is paid for.
-    milliseconds gap{50};     ///< Between two watches: changes that come within it share one.
+    milliseconds wait{20000}; ///< Duration of one watch; each call has a cost.
+    milliseconds gap{50};     ///< Between two watches, so that changes are batched.
     /**
-     * While changes of a kind come in a row that gap doubles, up to these. A fleet of 91 that
-     * starts makes 182 changes of members within two seconds and 1,500 of ranges, and each would
-     * wake a watch of every node that does not follow another yet. Ranges may be later by less: a
-     * request for a key that has moved pays for it.
+     * While watches of a kind keep returning changes, the gap doubles up to these limits. A fleet
+     * of 91 that starts makes 182 changes of members and 1,500 of ranges within two seconds, and
+     * each would wake a watch of every node that doesn't follow another one yet. The limit for
+     * ranges is lower because a delay slows down requests for keys that have moved.
      */
-    milliseconds longestMemberGap{400};
-    milliseconds longestRangeGap{100};
-    /** For each member, if that makes more of it: all feeders' watches wake with each change, so
-     * the calls of a fleet would grow with its square. Whoever is given keys is told directly. */
+    milliseconds maxMemberGap{400};
+    milliseconds maxRangeGap{100};
+    /** Limit per member, if that exceeds maxRangeGap: each change wakes the watches of all
+     * feeders, so the calls of a fleet would grow with the square of its size. A node that is
+     * granted keys is notified directly and doesn't depend on the watch. */
     milliseconds rangeGapPerMember{2};
-    size_t leastMembers = 20;    ///< Smaller fleets keep to the short gap.
-    milliseconds firstPause{50}; ///< After a failure; doubles while failures go on.
+    size_t minMembers = 20;      ///< Smaller fleets use the short gap, except for members.
+    milliseconds firstPause{50}; ///< After a failure; doubles with each further one.
     /**
-     * Bounds that pause: changes have to be in force within 2 s of the store's return. While the
-     * store is away every node asks now and then, and refused calls are paid for too, so the pause
-     * is longer by some for each member.
+     * Limit of that pause: changes must take effect within 2 s after the store is back. While the
+     * store is unavailable, every node keeps retrying, and rejected calls have a cost too, so the
+     * limit increases with the number of members.
      */
-    milliseconds longestPause{400};
+    milliseconds maxPause{400};
     milliseconds pausePerMember{6};
     /**
-     * A working watch is behind by its gap and one answer of the store, 0.4 s each at most; beyond
-     * this a small fleet's node lists. Seen without it: keys refused for 17 s after a connection to
-     * the store had fallen silent.
+     * A working watch is behind by its gap and one response of the store, at most 0.4 s each. If it
+     * is behind for longer than this, a node of a small fleet lists the records. Without this
+     * limit, keys were refused for 17 s after a connection to the store had stopped delivering.
      */
-    milliseconds longestLag{1000};
+    milliseconds maxLag{1000};
 };
 
-/** One loop for each kind: list, then watch from the listed revision; after a failure list again.
- */
+/** Runs one loop per kind of record: list, then watch from the listed revision; after a failure,
+ * list again. */
 class StoreSync final : public RevisionExchange
 {
 public:
@@ -56,7 +57,7 @@
 
     void start();
 
-    /** Takes over a record that the store told beside its watches. */
+    /** Applies a record that the store returned outside of a watch. */
     void onRecord(RecordKind kind, const StoredRecord &record);
 
     KnownRevisions news() const override { return newest_; }
@@ -68,9 +69,9 @@
     boost::asio::awaitable<Result<StoreRevision>> list(RecordKind kind);
     boost::asio::awaitable<Result<StoreRevision>> watch(RecordKind kind, StoreRevision since);
     milliseconds gapAfter(RecordKind kind);
-    void take(RecordKind kind, const StoredRecord &record);
-    void takeRemoved(RecordKind kind, const std::string &name);
-    void note(RecordKind kind, const Failure *failure);
+    void applyRecord(RecordKind kind, const StoredRecord &record);
+    void applyRemoval(RecordKind kind, const std::string &name);
+    void updateAvailability(RecordKind kind, const Failure *failure);
 
     boost::asio::io_context &context_;
     RecordStore &store_;
@@ -78,16 +79,16 @@
     std::string configName_;
     ConfigDecoder decodeConfig_;
     SyncTimes times_;
-    /** What the last watch of a kind came to. */
+    /** Result of the last watch of a kind. */
     struct Recent {
         bool changed = false;
-        milliseconds gap{0}; ///< After it.
+        milliseconds gap{0}; ///< Pause after it.
     };
     std::map<RecordKind, Recent> recent_;
     KnownRevisions newest_;
     std::map<RecordKind, WatchLag> lags_;
-    std::set<RecordKind> catchingUp_; ///< Kinds that are listed beside their watch.
-    bool lost_ = false;
+    std::set<RecordKind> catchingUp_; ///< Kinds that are listed while their watch waits.
+    bool unavailable_ = false;
 };
 
 } // namespace wisteriahoist
--- a/src/duty/watch_lag.h
+++ b/src/duty/watch_lag.h
@@ -1,4 +1,4 @@
-/** @file watch_lag.h Tells when a watch of the store has missed what another node has heard. */
+/** @file watch_lag.h Detects that a watch of the store misses changes that other nodes have. */
 
 #pragma once
 
@@ -8,19 +8,19 @@
 namespace wisteriahoist {
 
 /**
- * One kind's watch against what other nodes have heard.
+ * Compares the watch of one kind of record with the revisions that other nodes have received.
  *
- * A connection to the store may fall silent for good without a reset. A watch on it hears nothing
- * until its own time limit, 22 s, and the node serves by what was true before: callers are sent to
- * the holder that a key had then, and refused. Another node's news are proof of a change, and a
- * working watch hears of it within its gap, so a lag that lasts means that this one is dead.
+ * A connection to the store may stop delivering without a reset. A watch on it receives nothing
+ * until its timeout of 22 s, and the node routes by outdated records: requests go to the former
+ * owner of a key and are refused. A newer revision at another node proves that there was a change,
+ * and a working watch receives it within its gap, so a lasting lag means that the watch is dead.
  */
 class WatchLag
 {
 public:
     explicit WatchLag(milliseconds allowance) : allowance_(allowance) { }
 
-    /** The own watch has heard of everything up to @p at. */
+    /** The local watch has received all changes up to @p at. */
     void onPosition(StoreRevision at)
     {
         position_ = std::max(position_, at);
@@ -29,7 +29,7 @@
         }
     }
 
-    /** @return Whether the own watch has been behind for too long. */
+    /** @return Whether the local watch has been behind for longer than the allowance. */
     bool onPeerRevisions(StoreRevision newest, TimePoint now)
     {
         if (newest <= position_) {
@@ -45,8 +45,8 @@
 private:
     milliseconds allowance_;
     StoreRevision position_;
-    StoreRevision missing_;       ///< The first that was found to be missing.
-    TimePoint since_ = NeverTime; ///< NeverTime: the own watch is not behind.
+    StoreRevision missing_;       ///< The first revision found to be missing.
+    TimePoint since_ = NeverTime; ///< Start of the lag; NeverTime: not behind.
 };
 
 } // namespace wisteriahoist
--- a/test/support/declarations.h
+++ b/test/support/declarations.h
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist::testing {
 
-/** @return A service with one route that keeps every rule. */
+/** @return A valid service with one route. */
 inline ServiceDeclaration makeService(const std::string &name)
 {
     ServiceDeclaration service;
@@ -23,7 +23,7 @@
     return service;
 }
 
-/** @return Declarations of one service each. */
+/** @return Declarations with one service per name. */
 template <typename... Names>
 Declarations makeDeclarations(const Names &...names)
 {
--- a/test/support/fake_platform.h
+++ b/test/support/fake_platform.h
@@ -1,4 +1,4 @@
-/** @file fake_platform.h One object of the platform, with faults in the order given. */
+/** @file fake_platform.h A platform store with a single object and scripted faults. */
 
 #pragma once
 
@@ -10,25 +10,25 @@
 
 namespace wisteriahoist::testing {
 
-/** What happens to one write. */
+/** Fault of one write. */
 enum class WriteFault {
     None,
-    ReplyLost, ///< It takes effect, but the reply does not come.
+    ReplyLost, ///< It takes effect, but the reply is lost.
     Late,      ///< It takes effect only just before the next write.
-    NotSent,   ///< It does not take effect; the writer is told so.
-    Swallowed, ///< It does not take effect; no reply comes.
+    NotSent,   ///< It does not take effect, and the writer gets an error.
+    Swallowed, ///< It does not take effect, and there is no reply.
 };
 
-/** One object, with faults in the order given. */
+/** A single object; faults apply to its calls in the given order. */
 class FakePlatform : public PlatformStore
 {
 public:
     std::deque<WriteFault> faults;
-    std::deque<bool> readFails;        ///< One for each read.
-    std::function<void()> beforeWrite; ///< Another operator's moment; called once.
+    std::deque<bool> readFails;        ///< One entry per read.
+    std::function<void()> beforeWrite; ///< Called once, before the next write.
     std::string content;
     uint64_t version = 0;
-    uint32_t writes = 0; ///< That took effect.
+    uint32_t writes = 0; ///< Number of writes that took effect.
 
     Pending<VersionedObject> read(std::string) override
     {
--- a/test/support/scripted_store.h
+++ b/test/support/scripted_store.h
@@ -1,4 +1,4 @@
-/** @file scripted_store.h A store in memory whose calls fail as a test tells it. */
+/** @file scripted_store.h An in-memory store with faults that are set by the test. */
 
 #pragma once
 
@@ -18,7 +18,7 @@
 public:
     explicit ScriptedStore(boost::asio::io_context &) { }
 
-    /** Writes whatever the revision is. */
+    /** Writes unconditionally. */
     StoreRevision put(RecordKind kind, const std::string &name, const std::string &content)
     {
         StoredRecord &record = records_[{kind, name}];
@@ -27,19 +27,19 @@
         return record.revision;
     }
 
-    /** Watches that wait hear nothing, and new ones neither, as if held back. */
-    void muteWatches(bool mute) { muted_ = mute; }
+    /** While set, no watch returns changes. */
+    void muteWatches(bool muted) { muted_ = muted; }
 
-    /** Waiting watches end with a lost connection. */
-    void cutWatches() { ++cuts_; }
+    /** Ends all waiting watches with a connection failure. */
+    void interruptWatches() { ++cuts_; }
 
-    /** The next @p count writes are done but not answered. */
+    /** The next @p count writes take effect, but their responses are lost. */
     void loseResponses(int count) { lostAnswers_ = count; }
 
-    /** @return Writes that were refused since the record had changed. */
+    /** @return Number of writes rejected because the record had changed. */
     int conflicts() const { return conflicts_; }
 
-    /** While set, every call fails as if the store were down. */
+    /** While set, all calls but waiting watches fail with Unavailable. */
     void setDown(bool down) { down_ = down; }
 
     const StoredRecord *find(RecordKind kind, const std::string &name) const
@@ -48,7 +48,7 @@
         return found == records_.end() ? nullptr : &found->second;
     }
 
-    /** @return All records of a kind, by name. */
+    /** @return All records of a kind, sorted by name. */
     std::vector<StoredRecord> records(RecordKind kind) const
     {
         std::vector<StoredRecord> found;
@@ -71,10 +71,10 @@
         co_return listing;
     }
 
-    /** @param action Runs after each write that was done. */
+    /** @param action Called after each write that took effect. */
     void onWrite(std::function<void()> action) { written_ = std::move(action); }
 
-    /** @return Reads of single records of @p kind. */
+    /** @return Number of reads of single records of @p kind. */
     int reads(RecordKind kind) const
     {
         const auto found = reads_.find(kind);
@@ -145,7 +145,7 @@
     }
 
 private:
-    static Failure unavailable() { return {FailureCode::Unavailable, "down"}; }
+    static Failure unavailable() { return {FailureCode::Unavailable, "store down"}; }
 
     Result<StoreRevision> answer(StoreRevision revision)
     {
@@ -154,7 +154,7 @@
         }
         if (lostAnswers_ > 0) {
             --lostAnswers_;
-            return Failure{FailureCode::Ambiguous, "answer lost"};
+            return Failure{FailureCode::Ambiguous, "response lost"};
         }
         return revision;
     }
--- a/test/support/shifted_clock.h
+++ b/test/support/shifted_clock.h
@@ -1,4 +1,4 @@
-/** @file shifted_clock.h A clock that a test sets ahead. */
+/** @file shifted_clock.h A clock that a test can set ahead. */
 
 #pragma once
 
@@ -7,8 +7,8 @@
 namespace wisteriahoist::testing {
 
 /**
- * The real clock and what a test adds to it. A test that waits for a term to lapse sets the clock
- * ahead instead of waiting, so its terms can be far longer than any pause of a busy machine.
+ * The real clock plus an offset. A test of an expiry sets the clock ahead instead of waiting, so
+ * its periods can be far longer than any pause of a busy machine.
  */
 class ShiftedClock final : public Clock
 {
--- a/test/unit/config/config_accept_test.cpp
+++ b/test/unit/config/config_accept_test.cpp
@@ -1,4 +1,4 @@
-/** @file config_accept_test.cpp A change is accepted whole, refused whole, or known already. */
+/** @file config_accept_test.cpp Changes are accepted or refused as a whole, once per request. */
 
 #include "decision/config/config_accept.h"
 #include "decision/config/config_guard.h"
@@ -38,20 +38,20 @@
 
 Test(config_accept, versions)
 {
-    SECTION("the first change is version 1, the next one version 2")
+    SECTION("the first change gets version 1, the next one version 2")
     {
         ConfigRecord record = accept({}, makeRequest(1, makeDeclarations("a")));
         cr_assert(record.declarations.version == 1);
         record = accept(record, makeRequest(2, makeDeclarations("a", "b")));
         cr_assert(record.declarations.version == 2);
-        SECTION("what is stored already makes no version")
+        SECTION("unchanged declarations get no new version")
         {
             const ConfigDecision same
                     = decideChange(record, makeRequest(3, makeDeclarations("b", "a")), 2);
             cr_assert(same.verdict == ConfigVerdict::Unchanged);
             cr_assert(same.version == 2);
         }
-        SECTION("older content comes back as a higher version")
+        SECTION("older content is restored with a higher version")
         {
             ConfigRequest back = makeRequest(3, makeDeclarations("a"));
             back.allowDelete = true;
@@ -62,9 +62,9 @@
     }
 }
 
-// The platform is restored from a backup (or the object is deleted) while nodes hold version 9. An
-// operator applies; counted on from the stored version, the change would become version 4, be
-// answered "accepted" and be refused by every node. It becomes version 10.
+// The platform is restored from a backup (or the object is deleted) while nodes hold version 9. If
+// the next change continued from the stored version, it would get version 4, be reported as
+// accepted and be refused by every node. It must get version 10.
 Test(config_accept, restored_platform)
 {
     ConfigRecord stored;
@@ -74,7 +74,7 @@
             = decideChange(stored, makeRequest(1, makeDeclarations("a", "b")), 9);
     cr_assert(changed.verdict == ConfigVerdict::Write);
     cr_assert(changed.version == 10);
-    SECTION("the content that is stored is written again above what nodes hold")
+    SECTION("unchanged content is written again with a version above that of the nodes")
     {
         const ConfigDecision same = decideChange(stored, makeRequest(2, makeDeclarations("a")), 9);
         cr_assert(same.verdict == ConfigVerdict::Write);
@@ -82,9 +82,10 @@
     }
 }
 
-// The operator's connection breaks before the reply, and the call is repeated after another
-// operator's change. Judged by its content alone it would undo the other's change, or be told of a
-// conflict with itself. Its request id is in the object, so it is told the version that it made.
+// The connection breaks before the reply, and the operator repeats the call after another
+// operator's change. Without its request id in the object, the repeated call would undo the other
+// change or be reported as a conflict with itself. It must get the version that the first call
+// created.
 Test(config_accept, repeated_call)
 {
     ConfigRequest mine = makeRequest(7, makeDeclarations("a"));
@@ -94,7 +95,7 @@
     const ConfigDecision repeated = decideChange(record, mine, 2);
     cr_assert(repeated.verdict == ConfigVerdict::AlreadyApplied);
     cr_assert(repeated.version == 1);
-    SECTION("the same id with another content is refused")
+    SECTION("the same id with different content is refused")
     {
         const ConfigDecision reused
                 = decideChange(record, makeRequest(7, makeDeclarations("a", "b", "c")), 2);
@@ -105,7 +106,7 @@
         cr_assert(isRefusedFor(decideChange(record, makeRequest(0, makeDeclarations("a")), 2),
                                ConfigProblemCode::BadArgument));
     }
-    SECTION("the memory is bounded; the newest ids are kept")
+    SECTION("the number of stored requests is limited; the newest are kept")
     {
         for (uint64_t id = 100; id < 100 + MaxRememberedRequests; ++id) {
             Declarations next = makeDeclarations("a", "b");
@@ -122,7 +123,7 @@
 {
     const ConfigRecord record = accept({}, makeRequest(1, makeDeclarations("a", "b")));
     ConfigRequest request = makeRequest(2, makeDeclarations("a"));
-    SECTION("a service disappears only with the flag")
+    SECTION("a service is deleted only with the flag")
     {
         ConfigDecision refused = decideChange(record, request, 1);
         cr_assert(isRefusedFor(refused, ConfigProblemCode::NeedsAllowDelete));
@@ -142,14 +143,14 @@
         request.allowRehash = true;
         cr_assert(decideChange(record, request, 1).verdict == ConfigVerdict::Write);
     }
-    SECTION("checks of grants are given up only with the flag")
+    SECTION("checks of grants are disabled only with the flag")
     {
         request.declarations = makeDeclarations("a", "b");
         request.declarations.services[0].grantMode = GrantMode::Unchecked;
         cr_assert(isRefusedFor(decideChange(record, request, 1),
                                ConfigProblemCode::NeedsAllowUnfence));
     }
-    SECTION("one wrong value refuses the whole")
+    SECTION("a change with one invalid value is refused as a whole")
     {
         request.declarations = makeDeclarations("a", "b", "c");
         request.declarations.services[2].host = "";
@@ -157,7 +158,7 @@
         cr_assert(isRefusedFor(refused, ConfigProblemCode::BadArgument));
         cr_assert(refused.record.declarations.services.empty());
     }
-    SECTION("another version than expected refuses, and names both")
+    SECTION("a version other than the expected one is refused with both versions in the message")
     {
         request.declarations = makeDeclarations("a", "b", "c");
         request.expectedVersion = 5;
@@ -182,9 +183,9 @@
     cr_assert(changes == expected);
 }
 
-// A coordinator is paused with version 2 in hand, and its reply arrives after version 3 came from
-// its successor; a replayed reply arrives once more. Put in force in order of arrival, the deleted
-// service would serve again. The node refuses whatever is not newer, from any source.
+// A coordinator is paused before it sends version 2, so it arrives after version 3 from its
+// successor; another reply arrives twice. If they were applied in order of arrival, a deleted
+// service would be served again. The node refuses all that is not newer, from any source.
 Test(config_guard, reordered_versions)
 {
     const auto make = [](uint64_t version, const char *name) {
@@ -200,7 +201,7 @@
     cr_assert(guard.offer(make(3, "d")) == ConfigOffer::Conflicting);
     cr_assert(guard.inForce().findService("c") != nullptr);
     cr_assert(guard.refusedCount() == 2);
-    SECTION("after a restart of everyone the platform's version is the first that is served")
+    SECTION("after a restart of all nodes the platform's version is applied first")
     {
         ConfigGuard restarted;
         cr_assert(restarted.inForce().services.empty());
--- a/test/unit/config/config_writer_test.cpp
+++ b/test/unit/config/config_writer_test.cpp
@@ -1,4 +1,4 @@
-/** @file config_writer_test.cpp Racing operators, lost replies, and a platform that stays away. */
+/** @file config_writer_test.cpp Concurrent operators, lost replies and an unavailable platform. */
 
 #include "duty/config_writer.h"
 
@@ -57,9 +57,9 @@
 
 } // namespace
 
-// The write takes effect and its reply is lost. Told "failed", the operator would believe that the
-// old rules hold. The object is read back, holds the request's id, and the operator gets the
-// version.
+// The write takes effect, but its reply is lost. If that were reported as a failure, the operator
+// would assume that the old rules are still in effect. The object is read back and contains the
+// request id, so the operator gets the version.
 Test(config_writer, lost_reply)
 {
     FakePlatform platform;
@@ -68,9 +68,10 @@
     cr_assert(platform.writes == 1);
 }
 
-// The write is still on its way when the object is read back: it does not hold the id yet. Told
-// "not done", the operator would be wrong a moment later. The write is repeated under the same
-// version; the late one arrives first, the repeated one meets a conflict, and a read settles it.
+// The write is still in transit when the object is read back, so the object does not contain the id
+// yet. Reporting "not done" would be wrong a moment later. The write is repeated with the same
+// expected version; the late one arrives first, the repeated one gets a conflict, and another read
+// shows the outcome.
 Test(config_writer, late_write)
 {
     FakePlatform platform;
@@ -85,9 +86,10 @@
     }
 }
 
-// Two operators read version 1 and apply. The platform takes one write; the other operator's is
-// refused by the version. Written again on top, it would undo a change that its operator never saw.
-// He gets the conflict with both versions, although he had expected none by name.
+// Two operators read version 1 and apply a change. The platform accepts one write; the other one
+// fails with a version conflict. If it were repeated on top, it would undo a change that its
+// operator has never seen. The operator gets the conflict with both versions, even without an
+// expected version in the request.
 Test(config_writer, racing_operators)
 {
     FakePlatform platform;
@@ -105,7 +107,7 @@
     cr_assert(loser.storedVersion == 2);
     cr_assert(recordOf(platform).declarations.findService("b") != nullptr);
     cr_assert(recordOf(platform).declarations.findService("c") == nullptr);
-    SECTION("the same when the loser's reply was lost too")
+    SECTION("also if the reply to the second operator is lost")
     {
         platform.beforeWrite = [&platform]() {
             const ConfigDecision other
@@ -120,9 +122,9 @@
     }
 }
 
-// The platform is down. A write that was provably not sent is told so; one whose reply was lost and
-// that cannot be read back is told as unclear, never as failed. Repeated later under its id, it is
-// found to be done.
+// The platform is down. A write that was provably not sent is reported as such; one whose reply was
+// lost and that can't be read back is reported as ambiguous, never as failed. When it is repeated
+// later with its id, it is found to be applied.
 Test(config_writer, platform_away)
 {
     FakePlatform platform;
--- a/test/unit/config/declaration_check_test.cpp
+++ b/test/unit/config/declaration_check_test.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_check_test.cpp Declarations are checked as a whole. */
+/** @file declaration_check_test.cpp Declarations are validated as a whole. */
 
 #include "decision/config/declaration_check.h"
 #include "support/declarations.h"
@@ -11,9 +11,9 @@
 
 namespace {
 
-/** One thing made wrong in good declarations, and what has to be found. */
+/** An error introduced into valid declarations, and the expected problem. */
 struct WrongCase {
-    std::function<void(Declarations &)> spoil;
+    std::function<void(Declarations &)> introduceError;
     ConfigProblemCode code;
     const char *path;
 };
@@ -61,16 +61,16 @@
 
 Test(config_check, findings)
 {
-    SECTION("good declarations have none")
+    SECTION("valid declarations have no problems")
     {
         cr_assert(checkDeclarations(makeDeclarations("notes", "table")).empty());
         cr_assert(checkDeclarations(Declarations()).empty());
     }
-    SECTION("each wrong value is found with its path")
+    SECTION("each invalid value is reported with its path")
     {
         for (const WrongCase &wrong : wrongCases()) {
             Declarations declarations = makeDeclarations("notes", "table");
-            wrong.spoil(declarations);
+            wrong.introduceError(declarations);
             const ConfigProblems problems = checkDeclarations(declarations);
             cr_assert(!problems.empty(), "%s", wrong.path);
             cr_assert(problems.front().path == wrong.path, "%s, found %s", wrong.path,
@@ -78,7 +78,7 @@
             cr_assert(problems.front().code == wrong.code, "%s", wrong.path);
         }
     }
-    SECTION("all of them are found at once")
+    SECTION("all problems are reported at once")
     {
         Declarations declarations = makeDeclarations("notes", "table");
         declarations.services[0].host = "";
@@ -93,14 +93,14 @@
 {
     Declarations declarations = makeDeclarations("notes");
     std::vector<RouteRule> &routes = declarations.services[0].routes;
-    SECTION("a longer prefix before a shorter one can be reached, and so can another method")
+    SECTION("a longer prefix before a shorter one is reachable, and so is another method")
     {
         routes = {routes[0], routes[0], routes[0]};
         routes[1].pathPrefix = "/";
         routes[2].method = "POST";
         cr_assert(checkDeclarations(declarations).empty());
     }
-    SECTION("behind any method and a shorter prefix nothing is reached")
+    SECTION("a route after one for any method and a shorter prefix is unreachable")
     {
         routes = {routes[0], routes[0]};
         routes[0].method = "";
--- a/test/unit/config/round_trip_test.cpp
+++ b/test/unit/config/round_trip_test.cpp
@@ -1,4 +1,4 @@
-/** @file round_trip_test.cpp Declarations survive the schema and their own files unchanged. */
+/** @file round_trip_test.cpp Declarations are unchanged after encoding and decoding. */
 
 #include "adapter/codec/config_codec.h"
 #include "adapter/codec/declaration_codec.h"
@@ -39,7 +39,7 @@
 {
     RouteRule route;
     route.method = drawText("GETPOSU", MaxMethod);
-    // The index first, so that no route hides another.
+    // The index comes first so that no route makes another one unreachable.
     route.pathPrefix = "/" + std::to_string(index) + "/" + drawText("ab/%\"\\'~", 40);
     route.keyed = *rc::gen::arbitrary<bool>();
     route.repetition = *rc::gen::element(Repetition::Idempotent, Repetition::MustNotRepeat);
@@ -130,7 +130,7 @@
     cr_assert(problems[0].path == "services[0].grant_mode");
     cr_assert(problems[1].path == "services[0].key_space.place");
     cr_assert(problems[2].path == "services[0].routes[0].repetition");
-    SECTION("a field of a newer schema is refused instead of dropped")
+    SECTION("an unknown field of a newer schema is refused instead of ignored")
     {
         v1::Configuration newer = encodeConfiguration(makeDeclarations("notes"));
         cr_assert(checkConfigurationMessage(newer).empty());
--- a/test/unit/config/schema_test.cpp
+++ b/test/unit/config/schema_test.cpp
@@ -1,4 +1,4 @@
-/** @file schema_test.cpp The schema keeps every field that was released. */
+/** @file schema_test.cpp The schema stays compatible with all released fields. */
 
 #include "support/test_section.h"
 #include "wisteriahoist/v1/operator.pb.h"
@@ -55,10 +55,10 @@
 
 } // namespace
 
-// A tool of last year's schema calls this year's node. Were a field's number reused or its type
-// changed, the node would read one value as another and accept a rule that nobody declared. So each
-// line of the released schema must stand in the current one; new lines may be added to the file.
-Test(config_schema, keeps_what_was_released)
+// Tools with an older schema call newer nodes. If the number of a field were reused or its type
+// changed, the node would misread a value and accept a rule that was never declared. So each line
+// of the released schema must be in the current one; new lines may be added to the file.
+Test(config_schema, released_fields_are_kept)
 {
     std::set<std::string> current;
     describe(*v1::ApplyRequest::descriptor()->file(), current);
--- a/test/unit/member/backend_health_checker_test.cpp
+++ b/test/unit/member/backend_health_checker_test.cpp
@@ -1,4 +1,4 @@
-/** @file backend_health_checker_test.cpp What looks at the backend server find out. */
+/** @file backend_health_checker_test.cpp Active health checks of the backend server. */
 
 #include "duty/backend_health_checker.h"
 #include "support/ownership_fleet.h"
@@ -7,12 +7,13 @@
 using namespace wisteriahoist;
 using namespace wisteriahoist::testing;
 
-// Callers are turned away by a node whose backend server lives: it has refused two connections, and
-// its next heartbeat comes late. Nothing else would show the node that it takes connections again.
-Test(backend_health_checker, one_that_refused_connections_is_looked_at_until_it_answers)
+// Guards against refused callers at a node whose backend server is up: it has refused two
+// connections, and its next heartbeat is late. Only a health check shows the node that it accepts
+// connections again.
+Test(backend_health_checker, checks_continue_after_refused_connections_until_it_answers)
 {
     constexpr milliseconds Heartbeat{20};
-    constexpr std::chrono::seconds Patience{10}; // Far above what it takes; no test times it.
+    constexpr std::chrono::seconds Timeout{10}; // Far above the expected time.
     boost::asio::io_context context{1};
     const BootClockAdapter clock;
     FakeGrantingBackend backend(clock);
@@ -25,7 +26,7 @@
     BackendHealthChecker watch(context, clock, backend, monitor, Heartbeat, []() {});
     watch.start();
     const auto reaches = [&](BackendState state) {
-        const TimePoint end = clock.now() + Patience;
+        const TimePoint end = clock.now() + Timeout;
         while (monitor.state() != state && clock.now() < end) {
             context.run_for(std::chrono::milliseconds(1));
         }
--- a/test/unit/member/backend_monitor_test.cpp
+++ b/test/unit/member/backend_monitor_test.cpp
@@ -1,4 +1,4 @@
-/** @file backend_monitor_test.cpp Which life of the backend server counts, under late reports. */
+/** @file backend_monitor_test.cpp The current incarnation of a backend server with late reports. */
 
 #include "decision/member/backend_monitor.h"
 #include "support/test_section.h"
@@ -28,29 +28,30 @@
     BackendMonitor monitor{MonitorLimits{}};
     cr_assert(monitor.onReport(makeReport("i-1", 1), Start));
     cr_assert(monitor.state() == BackendState::Ready);
-    SECTION("an equal one changes nothing")
+    SECTION("an identical one changes nothing")
     {
         cr_assert(!monitor.onReport(makeReport("i-1", 2), Start));
     }
-    SECTION("draining is for good, also if an older report comes late")
+    SECTION("draining is permanent, even if an older report arrives late")
     {
         cr_assert(monitor.onReport(makeReport("i-1", 4, BackendState::Draining), Start));
         cr_assert(!monitor.onReport(makeReport("i-1", 3), Start));
         cr_assert(!monitor.onReport(makeReport("i-1", 5), Start));
         cr_assert(monitor.state() == BackendState::Draining);
     }
-    SECTION("who deregisters without draining leaves as well")
+    SECTION("a deregistration without draining counts as draining")
     {
-        BackendMonitor abrupt{MonitorLimits{}};
-        (void)abrupt.onReport(makeReport("i-1", 1), Start);
-        cr_assert(abrupt.onDeregister("i-1"));
-        cr_assert(abrupt.state() == BackendState::Draining);
+        BackendMonitor notDraining{MonitorLimits{}};
+        (void)notDraining.onReport(makeReport("i-1", 1), Start);
+        cr_assert(notDraining.onDeregister("i-1"));
+        cr_assert(notDraining.state() == BackendState::Draining);
     }
 }
 
-// The backend server crashes and starts again; a report of its old life was held up by a partition
-// and arrives last. Taken for news, requests would name a life that is gone and all be refused.
-Test(backend_monitor, a_late_report_of_an_ended_life_is_ignored)
+// The backend server crashes and restarts; a report of the earlier incarnation is delayed by a
+// partition and arrives last. If it were applied, requests would name an incarnation that has ended
+// and all be refused.
+Test(backend_monitor, late_report_of_an_ended_incarnation_is_ignored)
 {
     BackendMonitor monitor{MonitorLimits{}};
     (void)monitor.onReport(makeReport("i-1", 9), Start);
@@ -59,21 +60,21 @@
     cr_assert(monitor.backend() == "i-2");
 }
 
-// A request reaches a backend server 2.2 s after its leaving was acknowledged: its node had just
-// restarted, took the deregistration of a life that it did not know yet, and then a late report
-// of that life, which said that it was ready.
-Test(backend_monitor, a_deregistration_ahead_of_the_first_report_counts)
+// Guards against a request that reached a backend server 2.2 s after its deregistration had been
+// acknowledged: its node had just restarted, received the deregistration of an incarnation that it
+// did not know yet, and then a late report of this incarnation with the state ready.
+Test(backend_monitor, deregistration_before_the_first_report_is_kept)
 {
     BackendMonitor monitor{MonitorLimits{}};
     (void)monitor.onDeregister("i-1");
     (void)monitor.onReport(makeReport("i-1", 7), Start);
     cr_assert(monitor.state() == BackendState::Draining);
-    SECTION("also if a look at the address is what makes the life known")
+    SECTION("also if the incarnation becomes known by a health check")
     {
-        BackendMonitor looking{MonitorLimits{}};
-        (void)looking.onDeregister("i-1");
-        (void)looking.onOtherIncarnation("i-1", Start);
-        cr_assert(looking.state() == BackendState::Draining);
+        BackendMonitor polled{MonitorLimits{}};
+        (void)polled.onDeregister("i-1");
+        (void)polled.onOtherIncarnation("i-1", Start);
+        cr_assert(polled.state() == BackendState::Draining);
     }
 }
 
@@ -81,13 +82,13 @@
 {
     BackendMonitor monitor{MonitorLimits{}};
     (void)monitor.onReport(makeReport("i-1", 1), Start);
-    SECTION("one refused connection may be a chance, after two in a row it counts as down")
+    SECTION("it is considered down after two consecutive refused connections, not after one")
     {
         cr_assert(!monitor.onRefusedConnection());
         cr_assert(monitor.onRefusedConnection());
         cr_assert(monitor.refusesConnections() && monitor.state() == BackendState::Down);
     }
-    SECTION("none counts while it works on requests: it has too many connections")
+    SECTION("refused connections are ignored while it runs requests: it has too many connections")
     {
         BackendMonitor busy{MonitorLimits{}};
         bool working = true;
@@ -99,7 +100,7 @@
         cr_assert(!busy.onRefusedConnection());
         cr_assert(busy.onRefusedConnection());
     }
-    SECTION("silence is no proof that it holds nothing")
+    SECTION("after a timeout it is down, but without proof that it holds no keys")
     {
         BackendMonitor silent{MonitorLimits{}};
         (void)silent.onReport(makeReport("i-1", 1), Start);
@@ -110,10 +111,10 @@
     }
 }
 
-// Callers are refused until the next heartbeat of the new life: the backend server has crashed and
-// started again under its id, and counts its heartbeats from 1. Taken for old ones, they would be
-// ignored for as long as the earlier life had lived.
-Test(backend_monitor, a_life_may_come_back_under_its_id)
+// The backend server crashes and restarts with the same id, and numbers its heartbeats from 1
+// again. If they were considered outdated, they would be ignored for as long as the earlier
+// incarnation had run, and callers be refused.
+Test(backend_monitor, restart_with_the_same_id_is_recognised)
 {
     const auto reportOf = [](uint64_t born, uint64_t sequence) {
         BackendReport report = makeReport("i-1", sequence);
@@ -124,29 +125,30 @@
     (void)monitor.onReport(reportOf(1000, 40), Start);
     cr_assert(monitor.onReport(reportOf(2000, 1), Start));
     cr_assert(monitor.backend() == BackendIncarnation("i-1", 2000));
-    SECTION("a late heartbeat of the earlier life changes nothing")
+    SECTION("a late heartbeat of the earlier incarnation changes nothing")
     {
         cr_assert(!monitor.onReport(reportOf(1000, 41), Start));
         cr_assert(monitor.isNewest(reportOf(2000, 1)) && !monitor.isNewest(reportOf(1000, 41)));
     }
-    SECTION("nor does one of a life that this node has never known, if it began earlier")
+    SECTION("nor does one of an unknown incarnation that started earlier")
     {
         BackendReport unknown = makeReport("i-0", 9);
         unknown.backend.born = 500;
         cr_assert(!monitor.onReport(unknown, Start));
     }
-    SECTION("a deregistration of the earlier life does not end this one")
+    SECTION("a deregistration of the earlier incarnation does not affect the current one")
     {
         cr_assert(!monitor.onDeregister({"i-1", 1000}));
         cr_assert(monitor.state() == BackendState::Ready);
         cr_assert(monitor.onDeregister({"i-1", 2000}));
     }
-    SECTION("a look shows only the id: the first heartbeat tells the rest, without another life")
+    SECTION("a health check returns only the id; the first heartbeat completes the same "
+            "incarnation")
     {
-        BackendMonitor looking{MonitorLimits{}};
-        (void)looking.onOtherIncarnation("i-1", Start);
-        cr_assert(!looking.hasReported());
-        (void)looking.onReport(reportOf(2000, 7), Start);
-        cr_assert(looking.backend() == BackendIncarnation("i-1", 2000) && looking.hasReported());
+        BackendMonitor polled{MonitorLimits{}};
+        (void)polled.onOtherIncarnation("i-1", Start);
+        cr_assert(!polled.hasReported());
+        (void)polled.onReport(reportOf(2000, 7), Start);
+        cr_assert(polled.backend() == BackendIncarnation("i-1", 2000) && polled.hasReported());
     }
 }
--- a/test/unit/member/member_publisher_test.cpp
+++ b/test/unit/member/member_publisher_test.cpp
@@ -1,4 +1,4 @@
-/** @file member_publisher_test.cpp What a node writes of itself as it starts. */
+/** @file member_publisher_test.cpp The member record that a node writes when it starts. */
 
 #include "duty/member_publisher.h"
 
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** A node that has just started; its backend server has not been heard of. */
+/** A node that has just started; its backend server has not reported yet. */
 struct Fixture {
     Fixture()
     {
@@ -34,8 +34,8 @@
 
 } // namespace
 
-// Guards against two records for each node of a fleet that starts: each is news to all others.
-Test(member_publisher, the_first_record_waits_for_the_backend_server)
+// Guards against two writes per node when a fleet starts: each is a change for all other nodes.
+Test(member_publisher, first_write_waits_for_the_backend_server)
 {
     Fixture fixture;
     fixture.context.poll();
@@ -50,8 +50,8 @@
     cr_assert(decodeMember(stored->content).assume_value().state == BackendState::Ready);
 }
 
-// Guards against a node that nobody knows: its backend server does not come up.
-Test(member_publisher, a_node_without_a_backend_server_is_published_all_the_same)
+// Guards against a node that is never published because its backend server does not start.
+Test(member_publisher, node_without_a_backend_server_is_published)
 {
     Fixture fixture;
     cr_assert(runUntilHolds(fixture.context, [&]() { return fixture.writes == 1; }));
--- a/test/unit/member/peer_link_test.cpp
+++ b/test/unit/member/peer_link_test.cpp
@@ -1,4 +1,4 @@
-/** @file peer_link_test.cpp Calls between nodes reach the node that they are meant for. */
+/** @file peer_link_test.cpp Calls between nodes are answered only by the addressed node. */
 
 #include "duty/peer_link.h"
 #include "support/scripted_backend.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr milliseconds Timeout{5000}; ///< Far above what a call takes.
+constexpr milliseconds Timeout{5000}; ///< Far above the duration of a call.
 
 asio::awaitable<std::string> answerHello(std::string)
 {
@@ -27,10 +27,10 @@
 
 } // namespace
 
-// Callers of a sixth of the keys are refused for the rest of the day: the VM of their holder is
-// gone and its address belongs to a new one, whose node answers heartbeats and probes. So the
-// holder counts as alive and nobody takes its keys over.
-Test(peer_link, another_node_at_the_address_does_not_answer_for_the_lost_one)
+// Guards against a sixth of the keys being unavailable for the rest of the day: the VM of their
+// owner is lost and its address is reused by a new VM, whose node answers heartbeats and probes.
+// The owner would be considered alive, and its keys would never be taken over.
+Test(peer_link, call_is_rejected_by_another_node_at_the_address)
 {
     asio::io_context context;
     PeerLink present(context, "127.0.0.1", 0);
@@ -43,7 +43,7 @@
                         caller.call(memberAt(node, present.port()), "/probe", {}, Timeout));
     };
     cr_assert(ask(2).assume_value() == "hello");
-    SECTION("as if there were no node at all: the call has not been taken")
+    SECTION("the failure is Unavailable, as if the address were unreachable")
     {
         const Result<std::string> answer = ask(1);
         cr_assert(!answer && answer.assume_error().code == FailureCode::Unavailable);
--- a/test/unit/member/report_check_test.cpp
+++ b/test/unit/member/report_check_test.cpp
@@ -1,5 +1,5 @@
-/** @file report_check_test.cpp Which heartbeats a node believes, its own server's and a foreign
- * writer's.
+/** @file report_check_test.cpp Validation of heartbeats from the local backend server and from
+ * foreign processes.
  */
 
 #include "decision/member/report_check.h"
@@ -31,67 +31,70 @@
 
 } // namespace
 
-// Callers lose their requests at a backend server that is up: a foreign writer reports a life of a
-// service that no configuration names. It would count as the successor of the life that is there,
-// which is then taken for ended, and its keys are given on while it still holds them. Refused, the
+// Guards against lost requests at a backend server that is up: a foreign process sends a heartbeat
+// for a service that is not configured. Were it accepted, the current incarnation would be
+// considered ended and its keys be granted to others while it still holds them. A rejected
 // heartbeat changes nothing.
-Test(report_check, a_service_that_is_not_configured)
+Test(report_check, unconfigured_service_is_rejected)
 {
     const RouteTable routes = makeRoutes("shelf");
     const std::optional<Failure> refusal
             = checkReport(makeReport("foreign", "ghost"), "i-1", routes);
     cr_assert(refusal && refusal->code == FailureCode::Malformed);
-    cr_assert(refusal->context == "heartbeat.service: not in the configuration");
-    SECTION("a node that knows no life yet refuses it too")
+    cr_assert(refusal->context == "heartbeat.service: service is not in the configuration");
+    SECTION("also by a node that knows no incarnation yet")
     {
         cr_assert(checkReport(makeReport("foreign", "ghost"), BackendIncarnation(), routes));
     }
-    SECTION("a configured one is believed, of the present life and of the next")
+    SECTION("a configured service is accepted, from the current incarnation and from the next")
     {
         cr_assert(!checkReport(makeReport("i-1", "shelf"), "i-1", routes));
         cr_assert(!checkReport(makeReport("i-2", "shelf"), "i-1", routes));
     }
-    SECTION("the present life is believed after its service has left the configuration")
+    SECTION("the current incarnation is accepted after its service was removed from the "
+            "configuration")
     {
         cr_assert(!checkReport(makeReport("i-1", "ghost"), "i-1", routes));
     }
-    SECTION("before the first configuration every service is believed")
+    SECTION("any service is accepted before the first configuration")
     {
         cr_assert(!checkReport(makeReport("foreign", "ghost"), "i-1", RouteTable()));
     }
 }
 
-// Two backend servers run requests for one key: lives that keep their id are told apart by the time
-// of their start alone. A heartbeat under that id without a start would count as another life, and
-// end the one that is there although it works on. So once a start is known, one without is refused.
-Test(report_check, a_start_that_is_missing_after_one_was_told)
+// Guards against two backend servers that run requests for one key: incarnations with the same id
+// are distinguished only by their start time. A heartbeat with that id but no start time would be
+// attributed to another incarnation and end the current one, which is still running. Therefore it
+// is rejected once a start time is known.
+Test(report_check, missing_start_time_is_rejected_once_one_is_known)
 {
     const RouteTable routes = makeRoutes("shelf");
     const BackendIncarnation present("i-1", Born);
     const std::optional<Failure> refusal = checkReport(makeReport("i-1", "shelf"), present, routes);
     cr_assert(refusal && refusal->code == FailureCode::Malformed);
-    cr_assert(refusal->context == "heartbeat.born: missing, earlier ones had it");
-    SECTION("under another id and before the first configuration as well")
+    cr_assert(refusal->context == "heartbeat.born: missing, but present in earlier heartbeats");
+    SECTION("also with another id, and before the first configuration")
     {
         cr_assert(checkReport(makeReport("i-2", "shelf"), present, routes));
         cr_assert(checkReport(makeReport("i-1", "shelf"), present, RouteTable()));
     }
-    SECTION("the same start and a later one are believed")
+    SECTION("the same start time and a later one are accepted")
     {
         cr_assert(!checkReport(makeReport(present, "shelf"), present, routes));
         cr_assert(!checkReport(makeReport({"i-1", Born + 1}, "shelf"), present, routes));
     }
-    SECTION("a server that never tells its start is believed, and may begin to tell it")
+    SECTION("a server that has never sent a start time is accepted, and may begin to send one")
     {
         cr_assert(!checkReport(makeReport("i-1", "shelf"), "i-1", routes));
         cr_assert(!checkReport(makeReport(present, "shelf"), "i-1", routes));
     }
 }
 
-// A heartbeat can be wrong in both ways; the log names the service, which shows a foreign writer.
-Test(report_check, the_service_is_judged_first)
+// If a heartbeat is wrong in both ways, the log names the service, which reveals a foreign process.
+Test(report_check, service_is_checked_first)
 {
     const std::optional<Failure> refusal = checkReport(
             makeReport("i-1", "ghost"), BackendIncarnation("i-1", Born), makeRoutes("shelf"));
-    cr_assert(refusal && refusal->context == "heartbeat.service: not in the configuration");
+    cr_assert(refusal
+              && refusal->context == "heartbeat.service: service is not in the configuration");
 }
--- a/test/unit/placement/balanced_placement_test.cpp
+++ b/test/unit/placement/balanced_placement_test.cpp
@@ -1,4 +1,4 @@
-/** @file balanced_placement_test.cpp Ranges go where there is room, and stay where they are. */
+/** @file balanced_placement_test.cpp Load is balanced with few moves, also after failures. */
 
 #include "decision/placement/balanced_placement.h"
 #include "decision/placement/table/placement_profiles.h"
@@ -13,14 +13,14 @@
 
 namespace {
 
-/** A table whose ranges have true rates by hash; carries out steps as the coordinator would. */
+/** A table with the actual load of its ranges; applies steps as the coordinator would. */
 struct Cell {
     SliceTable table;
-    std::map<KeyHash, double> keys; ///< Hot keys' rates.
-    double spread = 0;              ///< Rate spread over the whole key space.
+    std::map<KeyHash, double> keys; ///< Rates of hot keys.
+    double spread = 0;              ///< Rate that is spread evenly over the key space.
     std::vector<InstanceView> instances;
     PlacementWeights weights = UnavailableTimeWeights;
-    std::map<NodeId, double> reportFactor; ///< 1: honest.
+    std::map<NodeId, double> reportFactor; ///< Reported divided by actual load; default 1.
     BalancedPlacement policy;
     TimePoint now{seconds(1000)};
 
@@ -63,7 +63,7 @@
         return sums;
     }
 
-    /** One decision, its steps carried out at once. */
+    /** Makes one decision and applies its steps at once. */
     std::vector<PlacementStep> step(Duration elapsed = seconds(1), bool report = true)
     {
         now += elapsed;
@@ -71,8 +71,8 @@
         for (size_t index = 0; report && index < table.slices().size(); ++index) {
             const Slice &slice = table.slices()[index];
             const auto factor = reportFactor.find(slice.owner);
-            const double believed = factor == reportFactor.end() ? 1.0 : factor->second;
-            reported.push_back({slice.first, loadOf(index) * believed});
+            const double reportedShare = factor == reportFactor.end() ? 1.0 : factor->second;
+            reported.push_back({slice.first, loadOf(index) * reportedShare});
         }
         std::vector<HotKey> hot;
         for (const auto &[hash, rate] : keys) {
@@ -92,7 +92,8 @@
                 slices.begin(), slices.end(), step.first,
                 [](const Slice &slice, KeyHash first) { return slice.first < first; });
         const bool exists = at != slices.end() && at->first == step.first;
-        cr_assert(exists == (step.kind != PlacementStep::Kind::Split), "the step fits the table");
+        cr_assert(exists == (step.kind != PlacementStep::Kind::Split),
+                  "the step does not fit the table");
         if (step.kind == PlacementStep::Kind::Move) {
             cr_assert(step.to != InvalidNode);
             at->owner = step.to;
@@ -101,7 +102,7 @@
             part.first = step.first;
             slices.insert(at, part);
         } else {
-            cr_assert(std::prev(at)->owner == at->owner, "only one owner's ranges are joined");
+            cr_assert(std::prev(at)->owner == at->owner, "ranges of different owners were merged");
             slices.erase(at);
         }
         table = SliceTable(std::move(slices));
@@ -135,7 +136,7 @@
 Test(placement, fresh_start)
 {
     Cell cell(4, 64);
-    SECTION("without any load, every range gets an owner in the first decision, evenly")
+    SECTION("without load, the first decision distributes all ranges evenly")
     {
         cell.step(seconds(1), false);
         std::map<NodeId, int> owned;
@@ -147,11 +148,11 @@
             cr_assert(count == 16);
         }
     }
-    SECTION("then nothing moves")
+    SECTION("after that no range is moved")
     {
         cr_assert(cell.run(30) == 0);
     }
-    SECTION("a new instance gets its share, and no range moves that need not")
+    SECTION("a new instance gets its share, without unnecessary moves")
     {
         cell.addInstance(5);
         const size_t moves = cell.run(30);
@@ -159,7 +160,7 @@
     }
 }
 
-Test(placement, same_input_same_answer)
+Test(placement, is_deterministic)
 {
     const auto runOnce = [] {
         Cell cell(5, 80);
@@ -178,10 +179,10 @@
 
 Test(placement, hot_key)
 {
-    // Caller sees: answers for sitters that share a server with a suddenly popular one get slow.
-    // What happens: one key takes half of the load of four servers within a second.
-    // Why it heals: the key becomes a range of its own and the rest of its owner's ranges leave;
-    // the key itself cannot be divided, so the bound is reported and not chased.
+    // Within a second one key gets half of the load of four servers, and requests for other keys of
+    // the same server become slow. The key gets its own range and the other ranges of its owner are
+    // moved away. The key itself can't be divided, so the lowest possible imbalance is reported as
+    // the bound, and no further moves are made.
     Cell cell(4, 64);
     cell.spread = 1000;
     cell.run(10);
@@ -192,11 +193,11 @@
     cr_assert(slice->first == hot);
     cr_assert(cell.highest() < 1000 * 1.12, "%f", cell.highest());
     cr_assert(std::abs(cell.policy.summary("").bound - 2.0) < 0.05);
-    SECTION("once settled, nothing moves")
+    SECTION("after that no range is moved")
     {
         cr_assert(cell.run(60) == 0);
     }
-    SECTION("when the key has cooled, its range is joined again")
+    SECTION("when the key is no longer hot, its range is merged again")
     {
         cell.keys.clear();
         cell.run(120);
@@ -207,29 +208,29 @@
 
 Test(placement, lost_server)
 {
-    // Caller sees: keys of one server are unavailable until they have another owner.
-    // What happens: the server is lost; in the one decision after it every range has an owner.
-    // Why: ranges go to the least loaded by load, one after another, not all to one neighbour.
+    // A server is lost, and its keys are unavailable until they have another owner. The next
+    // decision reassigns all of its ranges, one after another to the least loaded server, so they
+    // don't all go to the same one.
     Cell cell(6, 96);
     cell.spread = 6000;
     cell.run(20);
     cell.instance(2).live = false;
     const auto steps = cell.step(milliseconds(100));
     cr_assert(steps.size() == 16);
-    std::set<NodeId> takers;
+    std::set<NodeId> newOwners;
     for (const PlacementStep &step : steps) {
         cr_assert(step.reason == PlacementReason::OwnerLost);
-        takers.insert(step.to);
+        newOwners.insert(step.to);
     }
-    cr_assert(takers.size() == 5);
+    cr_assert(newOwners.size() == 5);
     cr_assert(cell.highest() < 1200 * 1.1, "%f", cell.highest());
 }
 
 Test(placement, lost_failure_domain)
 {
-    // Caller sees: a third of the keys are unavailable until they have another owner.
-    // What happens: every server of one failure domain is lost at once.
-    // Why: one decision sees them all, so the survivors share them by load.
+    // All servers of one failure domain are lost at once, and a third of the keys are unavailable
+    // until they have another owner. One decision distributes all their ranges over the remaining
+    // servers by load.
     Cell cell(9, 144);
     cell.spread = 9000;
     cell.run(20);
@@ -247,12 +248,12 @@
     cell.spread = 1000;
     cell.run(10);
     cell.instance(3).draining = true;
-    SECTION("one decision empties it")
+    SECTION("one decision moves all of its ranges")
     {
         cell.step();
         cr_assert(!cell.loads().contains(NodeId(3)));
     }
-    SECTION("and it gets nothing afterwards")
+    SECTION("it gets no ranges after that")
     {
         cell.keys[KeyHash(99)] = 500;
         cell.run(30);
@@ -260,11 +261,11 @@
     }
 }
 
-Test(placement, lying_report)
+Test(placement, too_low_report)
 {
-    // Caller sees: nothing; or, without the bound, one server that drowns.
-    // What happens: a server reports a hundredth of its load, so it always looks idle.
-    // Why it is bounded: it takes at most keySpaceFactor times its fair share of the key space.
+    // A server reports a hundredth of its load, so it always looks idle. Without a limit it would
+    // be overloaded; with the limit of keySpaceFactor times its fair share of the key space,
+    // callers notice nothing.
     Cell cell(8, 128);
     cell.spread = 8000;
     cell.run(10);
@@ -275,10 +276,9 @@
 
 Test(placement, stale_report)
 {
-    // Caller sees: nothing.
-    // What happens: every report is older than its bound, then one server is lost as well.
-    // Why: an old reading counts as unknown, not as zero: nothing moves for balance, but what has
-    // no owner still gets one, spread by the loads known last.
+    // All reports are too old, then one server is lost as well. Callers notice nothing: a stale
+    // report means that the load is unknown, not zero: no range is moved for balance, but ranges
+    // without owner are still reassigned, by the last known loads.
     Cell cell(4, 64);
     cell.spread = 1000;
     cell.run(10);
@@ -292,11 +292,11 @@
     cr_assert(cell.loads().size() == 3);
 }
 
-Test(placement, lost_step_is_asked_for_again)
+Test(placement, lost_step_is_repeated)
 {
-    // Caller sees: keys stay unavailable if a decided move is forgotten.
-    // What happens: the coordinator drops the decision (its write failed), the table stays.
-    // Why: a range without owner is asked for again after lossTimeout.
+    // The coordinator drops a decision because its write failed, so the table is unchanged. Keys
+    // would stay unavailable; therefore the move of a range without owner is requested again after
+    // lossTimeout.
     Cell cell(3, 12);
     const auto first
             = cell.policy.decide({cell.table, {}, {}, cell.instances, cell.weights}, cell.now);
@@ -306,11 +306,10 @@
     cr_assert(later.size() == 12);
 }
 
-Test(placement, services_do_not_share_memory)
+Test(placement, services_do_not_share_state)
 {
-    // Caller sees: one service's keys move for another service's load.
-    // What happens: the coordinator asks the same policy about two services in turn.
-    // Why it cannot: estimates, hold-down and moves under way are kept by service.
+    // The coordinator uses the same policy for two services in turn. Estimates, hold-down times and
+    // pending moves are kept by service, or keys would move because of another service's load.
     Cell cell(3, 12);
     BalancedPlacement policy;
     const std::vector<SliceLoad> busy{{KeyHash(0), 900}};
@@ -318,6 +317,7 @@
     const PlacementInput booking{cell.table, {}, {}, cell.instances, cell.weights, "booking"};
     cr_assert(policy.decide(notes, cell.now).size() == 12);
     cr_assert(policy.decide(booking, cell.now).size() == 12);
-    cr_assert(policy.decide(notes, cell.now + milliseconds(50)).empty(), "moves are under way");
+    cr_assert(policy.decide(notes, cell.now + milliseconds(50)).empty(),
+              "pending moves were requested again");
     cr_assert(policy.decide(booking, cell.now + milliseconds(50)).empty());
 }
--- a/test/unit/placement/load_tracker_test.cpp
+++ b/test/unit/placement/load_tracker_test.cpp
@@ -1,4 +1,4 @@
-/** @file load_tracker_test.cpp A node counts its ranges' load and finds its hottest keys. */
+/** @file load_tracker_test.cpp Load per range and hot keys of a node. */
 
 #include "decision/placement/load_tracker.h"
 #include "support/test_section.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Records @p perSecond requests a second for @p duration, evenly spaced. */
+/** Records @p perSecond requests per second for @p duration, evenly spaced. */
 TimePoint feed(LoadTracker &tracker, KeyHash range, KeyHash key, int perSecond, TimePoint from,
                seconds duration)
 {
@@ -29,19 +29,19 @@
     LoadTracker tracker;
     const TimePoint start(seconds(100));
     TimePoint now = feed(tracker, KeyHash(0), KeyHash(7), 200, start, seconds(3));
-    SECTION("a young tracker reports the rate, not what has accumulated so far")
+    SECTION("a new tracker reports the rate, not the count accumulated so far")
     {
         const LoadReport report = tracker.report(now);
         cr_assert(report.ranges.size() == 1);
         cr_assert(std::abs(report.ranges[0].requestsPerSecond - 200) < 10);
         cr_assert(std::abs(report.hotKeys[0].requestsPerSecond - 200) < 10);
     }
-    SECTION("a range that becomes silent fades out and is dropped")
+    SECTION("the rate of an idle range decays, and the range is dropped")
     {
         cr_assert(tracker.report(now + seconds(15)).requestsPerSecond < 25);
         cr_assert(tracker.report(now + seconds(120)).ranges.empty());
     }
-    SECTION("after hours, when weights have been set back many times, rates are right")
+    SECTION("rates are correct after hours, when weights have been rescaled many times")
     {
         now = feed(tracker, KeyHash(0), KeyHash(7), 50, start + seconds(36000), seconds(300));
         now = feed(tracker, KeyHash(0), KeyHash(7), 50, now + seconds(1), seconds(300));
@@ -64,7 +64,7 @@
     }
     const LoadReport report = tracker.report(now);
     cr_assert(report.ranges.size() == 4);
-    SECTION("the hot key is found among thousands of others; none of them is called hot")
+    SECTION("the hot key is found among thousands of others, none of which is reported as hot")
     {
         cr_assert(report.hotKeys[0].hash == KeyHash(42));
         cr_assert(std::abs(report.hotKeys[0].requestsPerSecond - 333) < 40);
--- a/test/unit/routing/route_table_test.cpp
+++ b/test/unit/routing/route_table_test.cpp
@@ -1,5 +1,4 @@
-/** @file route_table_test.cpp Routes by host and prefix, versions that never fall, shares by
- * weight. */
+/** @file route_table_test.cpp Lookup by host and prefix, monotonic versions, weighted targets. */
 
 #include "decision/routing/route_table.h"
 #include "support/test_section.h"
@@ -28,7 +27,7 @@
 
 } // namespace
 
-Test(route_table, longest_prefix_of_the_host)
+Test(route_table, longest_prefix_matches)
 {
     const RouteTable table(std::make_shared<RouteConfig>(makeConfig(1)));
     cr_assert(table.find("a.example", "/a/x")->name == "wide");
@@ -38,9 +37,9 @@
     cr_assert(table.find("b.example", "/a/x") == nullptr);
 }
 
-// A watch is cut and the configuration is read anew, from a replica of the store that is behind.
-// Taken over, a route that callers already use would be gone again.
-Test(route_table, a_version_never_falls)
+// After an interrupted watch the configuration is read from a store replica that is behind. If it
+// were applied, a route that callers already use would disappear again.
+Test(route_table, version_never_decreases)
 {
     RouteConfigHolder holder;
     cr_assert(holder.offer(makeConfig(7)));
--- a/test/unit/routing/slice_delta_test.cpp
+++ b/test/unit/routing/slice_delta_test.cpp
@@ -1,4 +1,4 @@
-/** @file slice_delta_test.cpp Routes follow by version; a gap is noticed and healed. */
+/** @file slice_delta_test.cpp Versioned deltas; a gap is detected and closed by a snapshot. */
 
 #include "decision/routing/slice_delta.h"
 #include "decision/routing/slice_table_func.h"
@@ -12,7 +12,7 @@
 
 constexpr uint32_t Owners = 9;
 
-/** One random valid change of @p table. */
+/** @return @p table with one random valid change. */
 SliceTable change(const SliceTable &table, std::mt19937_64 &random, uint64_t epoch)
 {
     const KeyHash point(random());
@@ -31,7 +31,7 @@
 
 } // namespace
 
-Test(slice_table, indexed_lookup_equals_a_scan)
+Test(slice_table, indexed_lookup_equals_linear_scan)
 {
     std::mt19937_64 random(11);
     for (const uint32_t count : {1U, 63U, 64U, 65U, 1000U}) {
@@ -53,7 +53,7 @@
 Test(slice_table, changes)
 {
     const SliceTable even = SliceTable::makeEven(4);
-    SECTION("an isolated key is a range of one point, also at both ends of the key space")
+    SECTION("an isolated key gets a range of one point, also at both ends of the key space")
     {
         for (const uint64_t point : {uint64_t{0}, uint64_t{77}, UINT64_MAX}) {
             const SliceTable table = isolateKey(even, KeyHash(point)).assume_value();
@@ -62,29 +62,29 @@
                       || table.find(KeyHash(point + 1))->first == KeyHash(point + 1));
         }
     }
-    SECTION("ranges of two owners are not joined")
+    SECTION("ranges of different owners are not merged")
     {
         const KeyHash second = even.slices()[1].first;
         const SliceTable moved = moveSlice(even, second, NodeId(3), Epoch(1)).assume_value();
         cr_assert(mergeSlice(moved, second).assume_error().code == FailureCode::BadArgument);
     }
-    SECTION("a joined range has the higher epoch")
+    SECTION("a merged range has the higher epoch")
     {
         const KeyHash second = even.slices()[1].first;
         const SliceTable moved = moveSlice(even, second, InvalidNode, Epoch(5)).assume_value();
         cr_assert(mergeSlice(moved, second).assume_value().slices()[0].epoch == Epoch(5));
     }
-    SECTION("a move whose epoch does not rise is refused")
+    SECTION("a move is rejected unless its epoch is higher")
     {
         cr_assert(moveSlice(even, KeyHash(0), NodeId(1), Epoch(0)).has_error());
     }
 }
 
-Test(slice_delta, a_follower_that_loses_deltas_ends_with_the_sender)
+Test(slice_delta, follower_converges_after_lost_deltas)
 {
-    // Caller sees: at worst one more hop for a while.
-    // What happens: deltas are lost, repeated and overtaken; the follower asks for a snapshot.
-    // Why it heals: a delta names its base, so the next one after a loss shows the gap.
+    // Deltas are lost, repeated and reordered, which costs callers at most an extra hop for some
+    // time. Each delta contains its base version, so the next one after a loss reveals the gap and
+    // the follower requests a snapshot.
     std::mt19937_64 random(5);
     DeltaLog log(8);
     RouteFollower follower;
@@ -94,19 +94,19 @@
     for (uint64_t version = 1; version <= 2000; ++version) {
         tables["notes"] = change(tables["notes"], random, version);
         log.onVersion(ObjectVersion(version), tables);
-        const uint64_t fate = random() % 8;
-        if (fate == 0) {
-            continue; // Nobody asks for several versions.
+        const uint64_t fault = random() % 8;
+        if (fault == 0) {
+            continue; // The follower does not ask for this version.
         }
         const auto delta = log.since(follower.version());
         if (!delta || follower.needsSnapshot()) {
             cr_assert(follower.onSnapshot(log.version(), log.tables()));
         } else {
             sent.push_back(*delta);
-            const RouteDelta &arrived = fate == 1 ? sent[random() % sent.size()] : *delta;
+            const RouteDelta &arrived = fault == 1 ? sent[random() % sent.size()] : *delta;
             follower.onDelta(arrived);
         }
-        cr_assert(follower.version() >= highest, "versions only rise");
+        cr_assert(follower.version() >= highest, "the version decreased");
         highest = follower.version();
     }
     if (const auto delta = log.since(follower.version()); delta && !follower.needsSnapshot()) {
@@ -122,19 +122,19 @@
     RouteFollower follower;
     ServiceTables tables{{"notes", SliceTable::makeEven(4)}};
     cr_assert(follower.onSnapshot(ObjectVersion(3), tables));
-    SECTION("a delta from a later base asks for a snapshot and changes nothing")
+    SECTION("a delta with a later base requires a snapshot and changes nothing")
     {
         cr_assert(follower.onDelta({ObjectVersion(4), ObjectVersion(5), {}}) == DeltaOutcome::Gap);
         cr_assert(follower.needsSnapshot());
         cr_assert(follower.version() == ObjectVersion(3));
     }
-    SECTION("an older snapshot is refused, the next one heals")
+    SECTION("an older snapshot is rejected, a newer one closes the gap")
     {
         cr_assert(!follower.onSnapshot(ObjectVersion(2), {}));
         cr_assert(follower.onSnapshot(ObjectVersion(5), tables));
         cr_assert(!follower.needsSnapshot());
     }
-    SECTION("a delta that would uncover part of the key space is refused")
+    SECTION("a delta that would leave part of the key space uncovered is rejected")
     {
         RouteDelta broken{ObjectVersion(5), ObjectVersion(6), {}};
         broken.services["notes"].removed = {KeyHash(0)};
@@ -147,7 +147,7 @@
     }
 }
 
-Test(slice_delta, only_changes_travel)
+Test(slice_delta, contains_only_changes)
 {
     const SliceTable before = SliceTable::makeEven(1667);
     const SliceTable after
--- a/test/unit/routing/slice_table_test.cpp
+++ b/test/unit/routing/slice_table_test.cpp
@@ -1,4 +1,4 @@
-/** @file slice_table_test.cpp Every hash lies in exactly one range. */
+/** @file slice_table_test.cpp Each hash is in exactly one range. */
 
 #include "decision/routing/slice_table.h"
 #include "support/test_section.h"
@@ -11,7 +11,7 @@
     {
         cr_assert(SliceTable().find(KeyHash(5)) == nullptr);
     }
-    SECTION("in an even table, the ends and the borders are covered")
+    SECTION("the ends and the boundaries of ranges of equal width are covered")
     {
         const SliceTable table = SliceTable::makeEven(4);
         cr_assert(table.slices().size() == 4);
@@ -20,7 +20,7 @@
         cr_assert(table.find(table.slices()[2].first) == &table.slices()[2]);
         cr_assert(table.find(KeyHash(table.slices()[2].first.value() - 1)) == &table.slices()[1]);
     }
-    SECTION("one range covers all")
+    SECTION("a single range covers the whole key space")
     {
         const SliceTable table = SliceTable::makeEven(1);
         cr_assert(table.find(KeyHash(UINT64_MAX)) == &table.slices()[0]);
--- a/test/unit/store/shared_watch_test.cpp
+++ b/test/unit/store/shared_watch_test.cpp
@@ -1,4 +1,4 @@
-/** @file shared_watch_test.cpp Nodes that hear of the store's changes from another node. */
+/** @file shared_watch_test.cpp Nodes that receive changes of the store from another node. */
 
 #include "duty/shared_watch.h"
 
@@ -30,20 +30,20 @@
     return true;
 }
 
-/** A confirmation of the store lasts for two of these; no machine pauses a test for so long. */
-constexpr milliseconds ConfirmationTerm{60000};
+/** Half the validity of a confirmation of the store; longer than any pause of a test machine. */
+constexpr milliseconds HalfConfirmationValidity{60000};
 
-/** A feeder (2) and a follower (1), each with its own way to one store. */
+/** A feeder (node 2) and a follower (node 1), each with its own store. */
 struct Fixture {
-    explicit Fixture(milliseconds settle = milliseconds(0))
+    explicit Fixture(milliseconds startupPeriod = milliseconds(0))
     {
-        limits.leastMembers = 2;
+        limits.minMembers = 2;
         limits.followers = 2;
-        times.configWait = ConfirmationTerm;
-        times.margin = ConfirmationTerm;
+        times.configWait = HalfConfirmationValidity;
+        times.margin = HalfConfirmationValidity;
         times.followWait = milliseconds(20);
-        times.followTimeout = ConfirmationTerm;
-        times.settle = settle;
+        times.followTimeout = HalfConfirmationValidity;
+        times.startupPeriod = startupPeriod;
         MemberRecord feeder;
         feeder.node = NodeId(2);
         feeder.ip = "127.0.0.1";
@@ -89,15 +89,15 @@
 
 } // namespace
 
-Test(shared_watch, whom_a_node_follows)
+Test(shared_watch, choice_of_the_feeder)
 {
     const FeederLimits limits;
 
-    SECTION("in a small fleet nobody")
+    SECTION("none in a small fleet")
     {
         cr_assert(!chooseFeeder(makeFleet(19), NodeId(9), "odd", all, limits));
     }
-    SECTION("in a large one a strong node, of the own failure domain if there is one")
+    SECTION("in a large fleet a strong node, preferably in the same failure domain")
     {
         const auto fleet = makeFleet(120);
         size_t feeders = 0;
@@ -117,7 +117,7 @@
             cr_assert_leq(count, 45U);
         }
     }
-    SECTION("another one if that has failed, and nobody if all have")
+    SECTION("another one if the first has failed, none if all have failed")
     {
         const auto fleet = makeFleet(40);
         const auto first = chooseFeeder(fleet, NodeId(9), "odd", all, limits);
@@ -129,8 +129,8 @@
     }
 }
 
-// Guards against a fleet of watches of its own: the store turns away the one feeder.
-Test(shared_watch, the_place_of_a_lost_feeder_is_taken)
+// Guards against every node watching the store itself because the store rejects the only feeder.
+Test(shared_watch, lost_feeder_is_replaced)
 {
     const FeederLimits limits;
     const auto fleet = makeFleet(24);
@@ -138,7 +138,7 @@
     const auto isUsable = [&](NodeId node) { return node != *lost; };
     const auto next = chooseFeeder(fleet, NodeId(9), "odd", isUsable, limits);
     cr_assert(next && *next != *lost);
-    SECTION("by the same node for everybody")
+    SECTION("by the same node for all followers")
     {
         for (const auto &[node, member] : fleet) {
             const auto feeder = chooseFeeder(fleet, node, member.failureDomain, isUsable, limits);
@@ -151,13 +151,13 @@
     }
 }
 
-Test(shared_watch, a_follower_hears_what_the_feeder_has_seen)
+Test(shared_watch, follower_receives_changes_from_the_feeder)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "1");
     cr_assert(fixture.run(fixture.feeder_->list(RecordKind::Configuration)).has_value());
 
-    SECTION("a change that it does not know yet")
+    SECTION("a change that the follower does not know yet")
     {
         const auto changes = fixture.watchAsFollower(StoreRevision(1));
         cr_assert(changes.has_value() && changes.assume_value().changes.empty());
@@ -165,30 +165,30 @@
         const auto seen = fixture.run(fixture.feeder_->watch(RecordKind::Configuration,
                                                              StoreRevision(1), milliseconds(50)));
         cr_assert(seen.has_value());
-        const auto told = fixture.watchAsFollower(StoreRevision(1));
-        cr_assert(told.has_value());
-        cr_assert_eq(told.assume_value().changes.size(), 1U);
-        cr_assert(told.assume_value().changes[0].record.content == "2");
-        cr_assert(told.assume_value().at == StoreRevision(2));
+        const auto received = fixture.watchAsFollower(StoreRevision(1));
+        cr_assert(received.has_value());
+        cr_assert_eq(received.assume_value().changes.size(), 1U);
+        cr_assert(received.assume_value().changes[0].record.content == "2");
+        cr_assert(received.assume_value().at == StoreRevision(2));
     }
-    SECTION("it asks no store for that")
+    SECTION("without a call to its own store")
     {
         fixture.followerStore.setDown(true);
         cr_assert(fixture.watchAsFollower(StoreRevision(1)).has_value());
     }
 }
 
-// A follower would serve an old configuration for as long as its feeder is cut off from the store
-// and does not know it. The feeder ends the call when the store has confirmed nothing for too long,
-// and the follower lists the records itself and goes its own way.
-Test(shared_watch, old_news_are_none)
+// A follower would use an outdated configuration while its feeder is cut off from the store and has
+// not detected it. Therefore the feeder ends the call when the last confirmation of the store is
+// too old, and the follower lists the records itself and watches the store.
+Test(shared_watch, stale_feeder_ends_the_call)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "1");
     cr_assert(fixture.run(fixture.feeder_->list(RecordKind::Configuration)).has_value());
     cr_assert(fixture.watchAsFollower(StoreRevision(1)).has_value());
-    // The confirmation lapses while the call waits, or before it on a slow machine.
-    fixture.clock.advance(2 * ConfirmationTerm - fixture.times.followWait / 2);
+    // The confirmation expires while the call waits, or before it on a slow machine.
+    fixture.clock.advance(2 * HalfConfirmationValidity - fixture.times.followWait / 2);
     const Result<RecordChanges> late = fixture.watchAsFollower(StoreRevision(1));
     cr_assert(!late.has_value());
     cr_assert(late.assume_error().code == FailureCode::HistoryGone);
@@ -197,18 +197,18 @@
     cr_assert(own.has_value() && own.assume_value().changes.size() == 1);
 }
 
-// Guards against a list of all records for each feeder that knows too little yet: a fleet starts.
-Test(shared_watch, a_node_that_has_just_started_does_not_list_after_a_feeder_that_turns_it_away)
+// Guards against one list of all records per feeder that is not up to date yet when a fleet starts.
+Test(shared_watch, node_that_has_just_started_does_not_list_after_a_rejection)
 {
-    Fixture fixture(ConfirmationTerm);
+    Fixture fixture(HalfConfirmationValidity);
     fixture.followerStore.put(RecordKind::Configuration, "main", "1");
     const auto own = fixture.watchAsFollower(StoreRevision(0));
     cr_assert(own.has_value());
     cr_assert_eq(own.assume_value().changes.size(), 1U);
 }
 
-// Guards against a list for each feeder in turn: none of them hears from the store.
-Test(shared_watch, after_three_failed_feeders_a_node_watches_the_store_itself)
+// Guards against one list per feeder when none of them can reach the store.
+Test(shared_watch, node_watches_the_store_after_three_failed_feeders)
 {
     Fixture fixture;
     for (uint64_t id = 3; id <= 6; ++id) {
@@ -226,8 +226,8 @@
     cr_assert(fixture.watchAsFollower(StoreRevision(0)).has_value());
 }
 
-// A feeder that was cut off lists again; what was removed before that list it cannot tell.
-Test(shared_watch, a_follower_from_before_the_feeders_list_lists_itself)
+// A feeder that was cut off lists again; it does not know what was removed before that list.
+Test(shared_watch, follower_lists_if_it_is_older_than_the_feeders_list)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "1");
@@ -236,10 +236,10 @@
     cr_assert(!fixture.watchAsFollower(StoreRevision(1)).has_value());
 }
 
-// Followers keep a configuration that was replaced: their feeder stops, and the node that takes its
-// place heard of the change while it followed itself. It never listed since, and its own watch of
-// the store begins after the change.
-Test(shared_watch, what_was_heard_as_a_follower_is_told_as_a_feeder)
+// Guards against followers that keep a replaced configuration: their feeder stops, and the node
+// that replaces it received the change as a follower. It has not listed since then, and its own
+// watch of the store begins after the change.
+Test(shared_watch, new_feeder_passes_on_changes_that_it_received_as_a_follower)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "1");
@@ -268,7 +268,7 @@
     request.set_kind(static_cast<uint32_t>(RecordKind::Configuration));
     request.set_since(1);
     const auto bytes = fixture.run(fixture.feederPeers.call(
-            third, "/feed", request.SerializeAsString(), ConfirmationTerm));
+            third, "/feed", request.SerializeAsString(), HalfConfirmationValidity));
     v1::FeedReply reply;
     cr_assert(bytes.has_value() && reply.ParseFromString(bytes.assume_value()));
     cr_assert(reply.fresh());
@@ -278,7 +278,7 @@
     cr_assert(std::any_of(reply.records().begin(), reply.records().end(), isNew));
 }
 
-Test(shared_watch, a_feed_tells_of_removed_records)
+Test(shared_watch, feed_contains_removed_records)
 {
     RecordFeed feed;
     RecordListing listing;
@@ -289,9 +289,9 @@
     changes.changes = {{{"a", StoreRevision(3), "1"}, true}, {{"b", StoreRevision(4), "2"}, false}};
     changes.at = StoreRevision(4);
     feed.onChanges(changes, TimePoint(milliseconds(9)));
-    const auto told = feed.changesSince(StoreRevision(2));
-    cr_assert(told && told->changes.size() == 2);
-    cr_assert(told->changes[0].removed && !told->changes[1].removed);
+    const auto changed = feed.changesSince(StoreRevision(2));
+    cr_assert(changed && changed->changes.size() == 2);
+    cr_assert(changed->changes[0].removed && !changed->changes[1].removed);
     cr_assert_eq(feed.changesSince(StoreRevision(3))->changes.size(), 1U);
     feed.onLost();
     cr_assert(!feed.changesSince(StoreRevision(4)));
--- a/test/unit/store/store_relay_test.cpp
+++ b/test/unit/store/store_relay_test.cpp
@@ -1,4 +1,4 @@
-/** @file store_relay_test.cpp The store through another node, and what is never sent that way. */
+/** @file store_relay_test.cpp Store calls through another node, and direct access if possible. */
 
 #include "duty/store_relay.h"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A node that reaches the store and one that does not; both see the same records if they can. */
+/** A node that can't reach its store, and a helper that can. */
 struct Fixture {
     Fixture()
     {
@@ -45,9 +45,9 @@
 
 } // namespace
 
-// The store refuses one node for longer than its lease lasts. Without another way the node stops
-// granting keys and its callers are refused, though its neighbours reach the store.
-Test(store_relay, reads_and_writes_go_through_a_neighbour)
+// The store rejects one node for longer than its lease lasts. Without a relay the node would stop
+// granting keys and its callers be refused, although other nodes can reach the store.
+Test(store_relay, reads_and_writes_are_relayed)
 {
     Fixture fixture;
     const auto created = fixture.run(fixture.store.create(RecordKind::Leases, "node-1", "1"));
@@ -59,7 +59,7 @@
     cr_assert(replaced.has_value());
     const auto listed = fixture.run(fixture.store.list(RecordKind::Leases));
     cr_assert(listed.has_value() && listed.assume_value().records.size() == 1);
-    SECTION("with the store's own refusals as they are")
+    SECTION("errors returned by the store are passed on")
     {
         const auto again = fixture.run(
                 fixture.store.replace(RecordKind::Leases, "node-1", created.assume_value(), "3"));
@@ -69,7 +69,7 @@
     }
 }
 
-Test(store_relay, a_store_that_is_away_for_all_is_unavailable)
+Test(store_relay, store_down_for_all_nodes_is_unavailable)
 {
     Fixture fixture;
     fixture.whole.setDown(true);
@@ -77,7 +77,7 @@
     cr_assert(!read && read.assume_error().code == FailureCode::Unavailable);
 }
 
-Test(store_relay, the_own_way_goes_first)
+Test(store_relay, direct_access_is_preferred)
 {
     Fixture fixture;
     fixture.cut.setDown(false);
--- a/test/unit/store/store_sync_test.cpp
+++ b/test/unit/store/store_sync_test.cpp
@@ -1,4 +1,4 @@
-/** @file store_sync_test.cpp The fleet view under cut watches and dropped history. */
+/** @file store_sync_test.cpp The fleet view with interrupted watches and discarded history. */
 
 #include "duty/store_sync.h"
 #include "support/scripted_backend.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A configuration's content is its version here. */
+/** In these tests the content of a configuration is its version. */
 Result<RouteConfig> decodeVersion(std::string_view content)
 {
     RouteConfig config;
@@ -18,7 +18,7 @@
     return config;
 }
 
-/** @return Times without a pause between two watches: a watch is always open, also when it is cut.
+/** @return Times without a gap between two watches, so that there is always a watch to interrupt.
  */
 SyncTimes makeTimes()
 {
@@ -49,7 +49,7 @@
     cr_assert(fixture.reaches(4));
     fixture.store.put(RecordKind::Configuration, "main", "7");
     cr_assert(fixture.reaches(7));
-    SECTION("and never goes back")
+    SECTION("and ignores an older version")
     {
         fixture.store.put(RecordKind::Configuration, "main", "5");
         fixture.store.put(RecordKind::Configuration, "main", "8");
@@ -57,10 +57,11 @@
     }
 }
 
-// Callers are served by a configuration that was replaced seconds ago: the store stops telling
-// watchers of changes, then cuts their connections and drops its history. A watch that goes on from
-// its old revision is held until the next change, and only then told that the history is gone.
-Test(store_sync, a_cut_watch_misses_nothing)
+// Guards against a configuration that stays in use for seconds after it was replaced: the store
+// stops sending changes, then closes the connections of watches and discards its history. A watch
+// that continues from its old revision waits for the next change, and only then fails because the
+// history is gone.
+Test(store_sync, interrupted_watch_misses_no_change)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "4");
@@ -68,14 +69,14 @@
     cr_assert(fixture.reaches(4));
     fixture.store.muteWatches(true);
     fixture.store.put(RecordKind::Configuration, "main", "7");
-    fixture.store.cutWatches();
+    fixture.store.interruptWatches();
     cr_assert(fixture.reaches(7));
 }
 
-// Callers are refused for keys that have moved: the connection of this node's watch has fallen
-// silent without a reset, so it hears nothing until the watch's time limit, 22 s. Other nodes,
-// whose watches work, know of the change and say so in every answer between nodes.
-Test(store_sync, a_silent_watch_is_found_out_by_what_others_have_heard)
+// Guards against refused callers for keys that have moved: the connection of this node's watch has
+// stopped delivering without a reset, so it receives nothing until the watch times out after 22 s.
+// Other nodes, whose watches work, include their newest revision in every reply between nodes.
+Test(store_sync, silent_watch_is_detected_by_revisions_of_peers)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Configuration, "main", "4");
@@ -86,25 +87,24 @@
     const TimePoint begun{milliseconds(100)};
     const SyncTimes times = makeTimes();
 
-    SECTION("for a short time a watch may be behind")
+    SECTION("a watch may be behind for a short time")
     {
         fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}}, begun);
         fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}},
-                                     begun + times.longestLag - milliseconds(1));
+                                     begun + times.maxLag - milliseconds(1));
         fixture.context.restart();
         fixture.context.run_for(milliseconds(20));
         cr_assert_eq(fixture.view.routes().version(), 4U);
     }
-    SECTION("then the records are listed")
+    SECTION("after that the records are listed")
     {
-        fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}},
-                                     begun + times.longestLag);
+        fixture.sync.onPeerRevisions({{RecordKind::Configuration, missed}}, begun + times.maxLag);
         cr_assert(fixture.reaches(7));
         cr_assert(fixture.sync.news().at(RecordKind::Configuration) == missed);
     }
 }
 
-Test(store_sync, a_malformed_record_changes_nothing)
+Test(store_sync, malformed_record_is_ignored)
 {
     Fixture fixture;
     fixture.store.put(RecordKind::Ranges, "s", "{\"ranges\":[{\"first\":9}]}");
