--- a/src/adapter/auth/fleet_authenticator.cpp
+++ b/src/adapter/auth/fleet_authenticator.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_authenticator.cpp Signs and checks calls. */
+/** @file fleet_authenticator.cpp Signs and verifies operator calls. */
 
 #include "adapter/auth/fleet_authenticator.h"
 
@@ -9,11 +9,11 @@
 
 namespace {
 
-constexpr std::string_view Scheme = "v1";        ///< A change of the signed text changes it.
+constexpr std::string_view Scheme = "v1";        ///< Changes with the format of the signed text.
 constexpr size_t FieldCount = 5;                 ///< Scheme, key id, time, nonce, signature.
-constexpr int64_t LatestTime = int64_t(1) << 53; ///< Milliseconds; far from overflow.
+constexpr int64_t LatestTime = int64_t(1) << 53; ///< Milliseconds; rules out overflow.
 
-/** @return The text that is signed: one line for each part; no part holds a line break. */
+/** @return The text to be signed: one line for each part; no part contains a line break. */
 std::string makeSignedText(const SignedCall &call, const std::string &time,
                            const std::string &nonce)
 {
--- a/src/adapter/auth/fleet_authenticator.h
+++ b/src/adapter/auth/fleet_authenticator.h
@@ -1,4 +1,4 @@
-/** @file fleet_authenticator.h Signs and checks calls, and the hello between two nodes. */
+/** @file fleet_authenticator.h Signs and verifies operator calls; counts rejected credentials. */
 
 #pragma once
 
@@ -11,34 +11,34 @@
 
 namespace wisteriahoist {
 
-/** Header field that carries a call's signature. */
+/** Header field with a call's signature. */
 inline constexpr std::string_view SignatureHeader = "Wisteriahoist-Signature";
 
-/** Why a credential was refused. */
+/** Why a credential was rejected. */
 enum class AuthRefusal {
-    Missing,        ///< No signature, or a call before the hello.
-    Malformed,      ///< Not in the form that sign() writes.
-    UnknownKey,     ///< A stranger's key, or an old one after a rotation.
-    WrongSignature, ///< Signed with another secret, or changed on its way.
-    Skewed,         ///< The signer's clock is too far off, or the call was held back.
-    Replayed,       ///< The call, or the answer to a challenge, was seen before.
-    Full,           ///< Too many signed calls to remember; come back later.
+    Missing,        ///< No signature, or a call before the handshake.
+    Malformed,      ///< Not in the format that signCall() writes.
+    UnknownKey,     ///< Not a key of the fleet, or withdrawn in a rotation.
+    WrongSignature, ///< Signed with another secret, or modified in transit.
+    Skewed,         ///< The signer's clock differs too much, or the call was delayed.
+    Replayed,       ///< The call was received before.
+    Full,           ///< The replay cache is full; retry later.
 };
 
 inline constexpr size_t AuthRefusalCount = 7;
 
-/** @return The stable name of @p refusal. */
+/** @return The stable name of @p refusal, as used in metrics and errors. */
 std::string_view refusalName(AuthRefusal refusal);
 
-/** What a call's signature covers. */
+/** The parts of a call that its signature covers. */
 struct SignedCall {
-    std::string_view method; ///< Of HTTP.
+    std::string_view method; ///< HTTP method.
     std::string_view target; ///< Path and query.
-    std::string audience;    ///< IP number and port of the node: no other one takes the call.
+    std::string audience;    ///< IP:PORT of the node; no other node accepts the call.
     std::string_view body;
 };
 
-/** Refusals by cause; read by any thread. */
+/** Number of rejections by cause; may be read by any thread. */
 class AuthCounters
 {
 public:
@@ -55,19 +55,22 @@
     std::array<std::atomic<uint64_t>, AuthRefusalCount> counts_{};
 };
 
-/** Signs operators' calls. @pre @p keys is not empty. @return The header field's value. */
+/**
+ * Signs an operator's call. @pre @p keys is not empty.
+ * @return The value of SignatureHeader.
+ */
 std::string signCall(const FleetKeys &keys, const SignedCall &call, WallTime now);
 
-/** Checks operators' calls; one thread uses it. */
+/** Verifies operators' calls; used by one thread only. */
 class CallVerifier
 {
 public:
     CallVerifier(FleetKeys keys, ReplayBounds bounds) : keys_(std::move(keys)), replay_(bounds) { }
 
-    /** @return Unauthorized with the refusal's name; Overloaded if it is Full. */
+    /** @return Unauthorized with the name of the refusal; Overloaded if it is Full. */
     Result<void> verify(const SignedCall &call, std::string_view signature, WallTime now);
 
-    /** @return Whether there is any key; without one nothing can be verified. */
+    /** @return Whether there are keys; without keys nothing can be verified. */
     bool isEnabled() const { return !keys_.empty(); }
 
     const AuthCounters &counters() const { return counters_; }
--- a/src/adapter/auth/fleet_key.cpp
+++ b/src/adapter/auth/fleet_key.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_key.cpp The keys that a fleet shares, and HMAC-SHA256 with them (OpenSSL). */
+/** @file fleet_key.cpp Shared keys of a fleet, and HMAC-SHA256 with them, by OpenSSL. */
 
 #include "adapter/auth/fleet_key.h"
 
@@ -57,8 +57,9 @@
 {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char *>(bytes.data()), static_cast<int>(count)) != 1) {
-        // Signing with a predictable nonce or key would be worse than not going on.
-        throw std::system_error(std::make_error_code(std::errc::io_error), "random numbers");
+        // Failing is better than signing with a predictable nonce or key.
+        throw std::system_error(std::make_error_code(std::errc::io_error),
+                                "cannot generate random bytes");
     }
     return bytes;
 }
--- a/src/adapter/auth/fleet_key.h
+++ b/src/adapter/auth/fleet_key.h
@@ -1,4 +1,4 @@
-/** @file fleet_key.h The keys that a fleet shares, and HMAC-SHA256 with them. */
+/** @file fleet_key.h Shared keys of a fleet, and HMAC-SHA256 with them. */
 
 #pragma once
 
@@ -14,17 +14,17 @@
 
 /** One shared key. */
 struct FleetKey {
-    std::string id;     ///< Names the key in signatures; not secret.
+    std::string id;     ///< Identifies the key in signatures; not secret.
     std::string secret; ///< FleetSecretBytes bytes.
 };
 
-/** All keys that are accepted; the first one signs. Two are listed while a rotation lasts. */
+/** All accepted keys; the first one signs. During a rotation there are two. */
 struct FleetKeys {
     std::vector<FleetKey> keys;
 
     bool empty() const { return keys.empty(); }
 
-    /** @return The key named @p id, or nullptr. */
+    /** @return The key with id @p id, or nullptr. */
     const FleetKey *find(std::string_view id) const;
 };
 
@@ -34,10 +34,14 @@
 /** @return SHA-256 of @p text, 32 bytes. */
 std::string computeDigest(std::string_view text);
 
-/** @return Whether both are equal; takes the same time wherever they differ. */
+/** @return Whether both are equal; the time does not depend on where they differ. */
 bool equalInConstantTime(std::string_view one, std::string_view other);
 
-/** @return @p count bytes from the system's generator, fit for keys and nonces. */
+/**
+ * @return @p count bytes of a cryptographically secure random generator, suitable for keys and
+ * nonces.
+ * @throws std::system_error if the generator fails.
+ */
 std::string randomBytes(size_t count);
 
 /** @return 64 random bits. */
@@ -45,7 +49,7 @@
 
 std::string toHex(std::string_view bytes);
 
-/** @return The bytes, or nothing if @p text is no hexadecimal number of whole bytes. */
+/** @return The bytes, or nothing if @p text is not an even number of hexadecimal digits. */
 std::optional<std::string> fromHex(std::string_view text);
 
 } // namespace wisteriahoist
--- a/src/adapter/auth/peer_hello.cpp
+++ b/src/adapter/auth/peer_hello.cpp
@@ -1,4 +1,4 @@
-/** @file peer_hello.cpp The hello with which two nodes prove that they hold a key of the fleet. */
+/** @file peer_hello.cpp Handshake in which two nodes prove that they hold a key of the fleet. */
 
 #include "adapter/auth/peer_hello.h"
 
@@ -10,7 +10,7 @@
 
 constexpr size_t NonceBytes = 16;
 
-// Different texts for the two roles: a proof cannot be sent back to whoever made it.
+// Each role signs a different text, so that a proof cannot be reflected to its sender.
 constexpr std::string_view ListenerRole = "wisteriahoist hello v1 listener ";
 constexpr std::string_view CallerRole = "wisteriahoist hello v1 caller ";
 
@@ -24,9 +24,9 @@
     return {FailureCode::Unauthorized, "hello: " + std::string(refusalName(refusal))};
 }
 
-boost::asio::awaitable<std::string> answerGuarded(std::shared_ptr<HelloListener> hello,
-                                                  PeerCallHandler next, std::string path,
-                                                  std::string body)
+boost::asio::awaitable<std::string> handleAuthenticated(std::shared_ptr<HelloListener> hello,
+                                                        PeerCallHandler next, std::string path,
+                                                        std::string body)
 {
     if (path == HelloPath) {
         co_return hello->onHello(body);
@@ -34,8 +34,8 @@
     if (path == ProofPath) {
         co_return hello->onProof(body);
     }
-    if (!hello->isProved()) {
-        hello->onStranger();
+    if (!hello->isAuthenticated()) {
+        hello->countUnauthenticated();
         co_return std::string();
     }
     co_return co_await next(std::move(path), std::move(body));
@@ -47,7 +47,7 @@
 {
     v1::HelloRequest request;
     v1::HelloReply reply;
-    proved_ = false;
+    authenticated_ = false;
     nonces_.clear();
     if (!request.ParseFromString(body) || request.nonce().size() != NonceBytes) {
         counters_.count(AuthRefusal::Malformed);
@@ -72,12 +72,12 @@
         counters_.count(AuthRefusal::Malformed);
         return reply.SerializeAsString();
     }
-    proved_ = equalInConstantTime(computeProof(*key_, CallerRole, nonces_), request.mac());
+    authenticated_ = equalInConstantTime(computeProof(*key_, CallerRole, nonces_), request.mac());
     nonces_.clear();
-    if (!proved_) {
+    if (!authenticated_) {
         counters_.count(AuthRefusal::WrongSignature);
     }
-    reply.set_accepted(proved_);
+    reply.set_accepted(authenticated_);
     return reply.SerializeAsString();
 }
 
@@ -119,11 +119,11 @@
 
 PeerCallHandler PeerGuard::guard(PeerCallHandler next)
 {
-    // Shares the guard's lifetime: a connection may outlive the listener that accepted it.
+    // Keeps the guard alive, since a connection may outlive the listener that accepted it.
     auto owner = shared_from_this();
     auto hello = std::make_shared<HelloListener>(keys_, counters_);
     return [owner, hello, next = std::move(next)](std::string path, std::string body) {
-        return answerGuarded(hello, next, std::move(path), std::move(body));
+        return handleAuthenticated(hello, next, std::move(path), std::move(body));
     };
 }
 
--- a/src/adapter/auth/peer_hello.h
+++ b/src/adapter/auth/peer_hello.h
@@ -1,4 +1,4 @@
-/** @file peer_hello.h The hello with which two nodes prove that they hold a key of the fleet. */
+/** @file peer_hello.h Handshake in which two nodes prove that they hold a key of the fleet. */
 
 #pragma once
 
@@ -16,12 +16,12 @@
 inline const std::string ProofPath = "/proof";
 
 /**
- * The listener's side of one connection: a challenge and its answer, both ways.
+ * The listener's side of the handshake on one connection, a mutual challenge and response.
  *
- * Failure prevented: a stranger's process, or a node whose key was withdrawn, asks for leases or
- * hands over requests. The nonces are drawn for each connection, so that a recorded hello is worth
- * nothing on another one; no clock and no memory of nonces is needed. What it does not prevent: one
- * who can change bytes of an open connection. Such a network needs mutual TLS.
+ * Prevents an unauthorized process, or a node whose key has been withdrawn, from acquiring leases
+ * or handing over requests. The nonces are drawn for each connection, so a recorded handshake is
+ * useless on another one; neither clocks nor a replay cache are needed. It does not protect against
+ * an attacker who can modify the bytes of an open connection; such a network needs mutual TLS.
  */
 class HelloListener
 {
@@ -35,33 +35,35 @@
     /** @return The reply to ProofPath. */
     std::string onProof(const std::string &body);
 
-    /** Any other call of a connection that has not proved itself was refused. */
-    void onStranger() { counters_.count(AuthRefusal::Missing); }
+    /** Counts a rejected call on a connection that has not completed the handshake. */
+    void countUnauthenticated() { counters_.count(AuthRefusal::Missing); }
 
-    bool isProved() const { return proved_; }
+    bool isAuthenticated() const { return authenticated_; }
 
 private:
     const FleetKeys &keys_;
     AuthCounters &counters_;
-    const FleetKey *key_ = nullptr; ///< Named by the hello.
-    std::string nonces_;            ///< The caller's and ours; empty before a hello.
-    bool proved_ = false;
+    const FleetKey *key_ = nullptr; ///< Selected by the hello.
+    std::string nonces_;            ///< The caller's nonce and this side's; empty before a hello.
+    bool authenticated_ = false;
 };
 
-/** The caller's side of one connection. */
+/** The caller's side of the handshake on one connection. */
 class HelloCaller
 {
 public:
     /** @pre @p keys is not empty. */
     explicit HelloCaller(const FleetKeys &keys) : key_(keys.keys.front()) { }
 
-    /** @return The body for HelloPath. */
+    /** @return The request body for HelloPath. */
     std::string makeHello();
 
-    /** @return The body for ProofPath; Unauthorized if the listener holds no such key. */
+    /**
+     * @return The request body for ProofPath; Unauthorized if the listener does not hold the key.
+     */
     Result<std::string> onHelloReply(const std::string &body) const;
 
-    /** @return Unauthorized if the listener refused the proof. */
+    /** @return Unauthorized if the listener rejected the proof. */
     static Result<void> onProofReply(const std::string &body);
 
 private:
@@ -69,20 +71,21 @@
     std::string nonce_;
 };
 
-/** Answers one call of a peer: path and body in, body out. */
+/** Handles one call of a peer: takes path and body, returns the response body. */
 using PeerCallHandler
         = std::function<boost::asio::awaitable<std::string>(std::string, std::string)>;
 
-/** Guards the connections of one listener. */
+/** Authenticates the connections of one listener. */
 class PeerGuard : public std::enable_shared_from_this<PeerGuard>
 {
 public:
     explicit PeerGuard(FleetKeys keys) : keys_(std::move(keys)) { }
 
     /**
-     * Wraps @p next for one connection: calls reach it only after the hello.
+     * Wraps @p next for one connection; calls reach it only after the handshake.
      * @pre The guard is owned by a shared_ptr.
-     * @return Answers with an empty body what is refused. It keeps the guard alive.
+     * @return A handler that keeps the guard alive and responds to rejected calls with an empty
+     * body.
      */
     PeerCallHandler guard(PeerCallHandler next);
 
--- a/src/adapter/codec/config_codec.cpp
+++ b/src/adapter/codec/config_codec.cpp
@@ -1,4 +1,4 @@
-/** @file config_codec.cpp Between the configuration decisions and the operators' schema. */
+/** @file config_codec.cpp Converts configuration types to and from the operators' schema. */
 
 #include "adapter/codec/config_codec.h"
 
@@ -80,7 +80,7 @@
         problems.push_back({ConfigProblemCode::BadArgument, path, "unspecified"});
     } else if (!isValid(value)) {
         problems.push_back({ConfigProblemCode::BadArgument, path,
-                            "found " + std::to_string(value) + ", not in this schema"});
+                            "found " + std::to_string(value) + ", unknown to this node's schema"});
     }
 }
 
@@ -107,7 +107,7 @@
 {
     v1::ConfigurationObject object;
     if (!object.ParseFromString(bytes)) {
-        return Failure{FailureCode::Malformed, "configuration object"};
+        return Failure{FailureCode::Malformed, "invalid configuration object"};
     }
     ConfigRecord record;
     record.declarations = decodeConfiguration(object.configuration());
@@ -124,7 +124,7 @@
     ConfigRequest request;
     request.declarations = decodeConfiguration(message.configuration());
     request.id = ConfigRequestId(message.request_id());
-    // Equal messages have equal bytes: the schema has no maps.
+    // Equal messages have equal bytes, since the schema has no maps.
     request.fingerprint
             = hashKey(message.configuration().SerializeAsString(), FingerprintSeed).value();
     if (message.has_expected_version()) {
@@ -141,7 +141,7 @@
     ConfigProblems problems;
     if (hasUnknownFields(message)) {
         problems.push_back({ConfigProblemCode::BadArgument, "",
-                            "fields that this node's schema does not have"});
+                            "contains fields unknown to this node's schema"});
     }
     for (int index = 0; index < message.services_size(); ++index) {
         const v1::Service &service = message.services(index);
--- a/src/adapter/codec/config_codec.h
+++ b/src/adapter/codec/config_codec.h
@@ -1,4 +1,4 @@
-/** @file config_codec.h Between the configuration decisions and the operators' schema. */
+/** @file config_codec.h Converts configuration types to and from the operators' schema. */
 
 #pragma once
 
@@ -8,19 +8,19 @@
 
 namespace wisteriahoist {
 
-/** The configuration object's bytes. */
+/** Encodes the configuration object. */
 std::string encodeConfigRecord(const ConfigRecord &record);
 
-/** @return The record; the default one for an object that does not exist (no bytes). */
+/** @return The record; a default one if @p bytes is empty, as for an object that does not exist. */
 Result<ConfigRecord> decodeConfigRecord(const std::string &bytes);
 
-/** @return The change that @p message asks for. */
+/** @return The change requested by @p message. */
 ConfigRequest decodeApplyRequest(const v1::ApplyRequest &message);
 
 /**
- * Finds what is lost when @p message becomes declarations: enumerations that are unspecified,
- * and enumerators or fields that this version of the schema does not have. Without it an operator
- * with a newer schema would be told "accepted" for a rule that is then read as another one.
+ * Finds what @p message would lose when it is decoded: unspecified enumerators, and enumerators or
+ * fields that this version of the schema does not have. Without this check an operator with a newer
+ * schema would get "accepted" for a rule that is then interpreted as a different one.
  */
 ConfigProblems checkConfigurationMessage(const v1::Configuration &message);
 
--- a/src/adapter/codec/declaration_codec.cpp
+++ b/src/adapter/codec/declaration_codec.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_codec.cpp Between declarations and their protobuf form. */
+/** @file declaration_codec.cpp Converts declarations to and from protobuf. */
 
 #include "adapter/codec/declaration_codec.h"
 
@@ -166,7 +166,7 @@
 {
     v1::ConfigurationObject object;
     if (!object.ParseFromString(bytes)) {
-        return Failure{FailureCode::Malformed, "configuration object"};
+        return Failure{FailureCode::Malformed, "invalid configuration object"};
     }
     Declarations declarations = decodeConfiguration(object.configuration());
     declarations.version = object.version();
--- a/src/adapter/codec/declaration_codec.h
+++ b/src/adapter/codec/declaration_codec.h
@@ -1,4 +1,4 @@
-/** @file declaration_codec.h Between declarations and their protobuf form. */
+/** @file declaration_codec.h Converts declarations to and from protobuf. */
 
 #pragma once
 
@@ -14,7 +14,7 @@
 v1::Configuration encodeConfiguration(const Declarations &declarations);
 Declarations decodeConfiguration(const v1::Configuration &message);
 
-/** The configuration object's bytes, version included. */
+/** Encodes the configuration object, including the version. */
 std::string encodeDeclarations(const Declarations &declarations);
 Result<Declarations> decodeDeclarations(const std::string &bytes);
 
--- a/src/adapter/codec/ownership_codec.cpp
+++ b/src/adapter/codec/ownership_codec.cpp
@@ -1,4 +1,4 @@
-/** @file ownership_codec.cpp Between the decision's types and their protobuf form. */
+/** @file ownership_codec.cpp Converts ownership types to and from protobuf. */
 
 #include "adapter/codec/ownership_codec.h"
 
@@ -8,7 +8,9 @@
 
 namespace {
 
-/** Time points travel in microseconds, so that a lease loses nothing to rounding up. */
+/**
+ * Time points are encoded in microseconds, rounded down, so that rounding never lengthens a lease.
+ */
 int64_t encodeTime(TimePoint time)
 {
     return std::chrono::floor<std::chrono::microseconds>(time.time_since_epoch()).count();
@@ -19,7 +21,7 @@
     return TimePoint(std::chrono::microseconds(count));
 }
 
-/** Rounded down: a lease or a remainder never becomes longer on its way. */
+/** Rounds down, so that encoding never lengthens a lease or a remaining time. */
 int64_t encodeDuration(Duration duration)
 {
     return std::chrono::floor<std::chrono::microseconds>(duration).count();
@@ -40,7 +42,7 @@
     return slices.empty() || slices.front().first == KeyHash(0);
 }
 
-/** Rounded up: an older lease that still runs must not look shorter than it is. */
+/** Rounds up, so that an older lease that is still running never appears shorter than it is. */
 int64_t encodeDurationUp(Duration duration)
 {
     return std::chrono::ceil<std::chrono::microseconds>(duration).count();
@@ -162,7 +164,7 @@
 {
     v1::TermObject message;
     if (!message.ParseFromString(bytes)) {
-        return makeMalformed("term object");
+        return makeMalformed("invalid term object");
     }
     TermRecord record;
     record.term = Term(message.term());
@@ -175,7 +177,8 @@
     record.coordinatorAddress = decodeAddress(message.coordinator_address());
     for (const v1::OpenRoster &open : message.open_rosters()) {
         if (open.node_ids_size() != open.incarnations_size()) {
-            return makeMalformed("term object: open roster");
+            return makeMalformed("invalid term object: open roster with different numbers of node "
+                                 "ids and incarnations");
         }
         OpenRoster decoded;
         decoded.term = Term(open.term());
@@ -192,7 +195,7 @@
 {
     v1::LossConfirmation message;
     if (!message.ParseFromString(bytes)) {
-        return makeMalformed("loss confirmation");
+        return makeMalformed("invalid loss confirmation");
     }
     return Term(message.term());
 }
@@ -235,7 +238,7 @@
                     {KeyHash(slice.first()), NodeId(slice.owner_node()), Epoch(slice.epoch())});
         }
         if (!isSorted(slices)) {
-            return makeMalformed("assignment: ranges out of order");
+            return makeMalformed("invalid assignment: ranges out of order");
         }
         record.services[service.service()] = SliceTable(std::move(slices));
     }
@@ -246,7 +249,7 @@
 {
     v1::AssignmentObject message;
     if (!message.ParseFromString(bytes)) {
-        return makeMalformed("assignment object");
+        return makeMalformed("invalid assignment object");
     }
     return decodeAssignmentMessage(message);
 }
@@ -276,7 +279,7 @@
 {
     v1::RenewRequest message;
     if (!message.ParseFromString(bytes)) {
-        return makeMalformed("renew request");
+        return makeMalformed("invalid renew request");
     }
     RenewRequest request;
     request.member = decodeMember(message.member());
@@ -326,7 +329,7 @@
 {
     v1::RenewReply message;
     if (!message.ParseFromString(bytes)) {
-        return makeMalformed("renew reply");
+        return makeMalformed("invalid renew reply");
     }
     RenewReply reply;
     reply.term = Term(message.term());
--- a/src/adapter/codec/ownership_codec.h
+++ b/src/adapter/codec/ownership_codec.h
@@ -1,4 +1,4 @@
-/** @file ownership_codec.h Between the decision's types and their protobuf form. */
+/** @file ownership_codec.h Converts ownership types to and from protobuf. */
 
 #pragma once
 
@@ -14,7 +14,7 @@
 std::string encodeTerm(const TermRecord &record);
 Result<TermRecord> decodeTerm(const std::string &bytes);
 
-/** @return The term up to which an operator confirmed the loss of what is missing. */
+/** @return The term up to which an operator has confirmed that missing members are lost. */
 Result<Term> decodeLossConfirmation(const std::string &bytes);
 
 v1::AssignmentObject encodeAssignmentMessage(const AssignmentRecord &record);
--- a/src/adapter/codec/record_codec.cpp
+++ b/src/adapter/codec/record_codec.cpp
@@ -1,4 +1,4 @@
-/** @file record_codec.cpp The product's own records in the store, as JSON by schema. */
+/** @file record_codec.cpp JSON encoding of this product's records in the store. */
 
 #include "adapter/codec/record_codec.h"
 
@@ -17,7 +17,7 @@
     return status.ok() ? text : std::string("{}");
 }
 
-/** Fields of a later release are ignored: during an upgrade both releases read the records. */
+/** Ignores unknown fields, since during an upgrade two releases read the same records. */
 Result<void> fromJson(std::string_view content, google::protobuf::Message &message)
 {
     google::protobuf::util::JsonParseOptions options;
@@ -88,7 +88,7 @@
         return std::move(parsed).as_failure();
     }
     if (message.node_id() == 0 || message.peer_port() == 0 || message.peer_port() > UINT16_MAX) {
-        return Failure{FailureCode::Malformed, "member without id or port"};
+        return Failure{FailureCode::Malformed, "member record: invalid node id or peer port"};
     }
     MemberRecord member;
     member.node = NodeId(message.node_id());
@@ -138,7 +138,7 @@
     record.block = message.block();
     record.layout.count = std::max<uint32_t>(1, message.blocks());
     if (!isValidBlockCount(record.layout.count) || record.block >= record.layout.count) {
-        return Failure{FailureCode::Malformed, "no such block of keys"};
+        return Failure{FailureCode::Malformed, "range record: invalid block number or block count"};
     }
     const KeySpan span = record.isBlock() ? record.layout.spanOf(record.block) : KeySpan{};
     RangeTable &table = record.table;
@@ -154,12 +154,13 @@
         const bool inOrder = table.entries.empty() ? entry.first == span.first
                                                    : table.entries.back().first < entry.first;
         if (!inOrder || entry.first > span.last || entry.fence > table.highestFence) {
-            return Failure{FailureCode::Malformed, "ranges out of order, or a fence too high"};
+            return Failure{FailureCode::Malformed,
+                           "range record: ranges out of order, or fence above the highest fence"};
         }
         table.entries.push_back(std::move(entry));
     }
     if (record.isBlock() && table.entries.empty()) {
-        return Failure{FailureCode::Malformed, "a block without ranges"};
+        return Failure{FailureCode::Malformed, "range record: block without ranges"};
     }
     return record;
 }
--- a/src/adapter/codec/record_codec.h
+++ b/src/adapter/codec/record_codec.h
@@ -1,4 +1,4 @@
-/** @file record_codec.h The product's own records in the store, as JSON by schema. */
+/** @file record_codec.h JSON encoding of this product's records in the store. */
 
 #pragma once
 
@@ -11,32 +11,35 @@
 
 namespace wisteriahoist {
 
-/** A lease record: each renewal changes it, so its revision tells whether its holder lives. */
+/** A lease record. Every renewal changes it, so its revision shows whether its holder is alive. */
 struct LeaseRecord {
     NodeId node;
     Incarnation life;
     uint64_t renewal = 0;
-    NodeId revokedBy;              ///< InvalidNode: it has not been taken away.
-    std::vector<NodeId> witnesses; ///< Nodes that a taker has to fence the holder at.
+    NodeId revokedBy;              ///< InvalidNode: the lease has not been revoked.
+    std::vector<NodeId> witnesses; ///< Nodes that fence the holder on takeover.
     bool operator==(const LeaseRecord &) const = default;
 };
 
 std::string encodeMember(const MemberRecord &member);
 Result<MemberRecord> decodeMember(std::string_view content);
 
-/** A record of ranges: a service's first division, or what has become of one block of it. */
+/** The range table with which a service starts, or the current state of one block of its keys. */
 struct RangeRecord {
     RangeTable table;
     BlockLayout layout;
-    std::string service; ///< Of a block's record; empty: it is the service's own record.
-    uint32_t block = 0;  ///< Of a block's record.
+    std::string service; ///< Set in a block's record; empty in the service's own record.
+    uint32_t block = 0;  ///< Set in a block's record.
 
     bool isBlock() const { return !service.empty(); }
 };
 
 std::string encodeRangeRecord(const RangeRecord &record);
 
-/** @return Malformed also if the ranges break the invariant of a table. */
+/**
+ * @return The record; Malformed for invalid JSON or if the ranges violate an invariant of the
+ * table.
+ */
 Result<RangeRecord> decodeRangeRecord(std::string_view content);
 
 std::string encodeLease(const LeaseRecord &lease);
--- a/src/adapter/codec/rpc_codec.cpp
+++ b/src/adapter/codec/rpc_codec.cpp
@@ -1,4 +1,4 @@
-/** @file rpc_codec.cpp The operators' methods as the schema names them, and their JSON form. */
+/** @file rpc_codec.cpp Methods of the operator service and their JSON encoding. */
 
 #include "adapter/codec/rpc_codec.h"
 
@@ -39,7 +39,7 @@
 Result<std::string> requestFromJson(std::string_view method, const std::string &json)
 {
     const std::unique_ptr<Message> message = makeMessage(findMethod(method)->input_type());
-    // An unknown field is refused: a misspelt flag must not be taken for one that is absent.
+    // Unknown fields are rejected, so that a misspelt flag is not ignored.
     const auto status = google::protobuf::util::JsonStringToMessage(json, message.get());
     if (!status.ok()) {
         return Failure{FailureCode::Malformed, std::string(status.message())};
@@ -60,7 +60,7 @@
     std::string json;
     if (!message->ParseFromString(bytes)
         || !google::protobuf::util::MessageToJsonString(*message, &json, options).ok()) {
-        return Failure{FailureCode::Malformed, "reply of " + std::string(method)};
+        return Failure{FailureCode::Malformed, "invalid reply of " + std::string(method)};
     }
     return json;
 }
--- a/src/adapter/codec/rpc_codec.h
+++ b/src/adapter/codec/rpc_codec.h
@@ -1,4 +1,4 @@
-/** @file rpc_codec.h The operators' methods as the schema names them, and their JSON form. */
+/** @file rpc_codec.h Methods of the operator service and their JSON encoding. */
 
 #pragma once
 
@@ -11,13 +11,13 @@
 
 inline constexpr std::string_view OperatorServicePath = "/wisteriahoist.v1.OperatorService/";
 
-/** @return Whether the schema's OperatorService has @p method. */
+/** @return Whether OperatorService has a method @p method. */
 bool isOperatorMethod(std::string_view method);
 
-/** @return The request of @p method in protobuf form; Malformed if @p json is none. */
+/** @return The request of @p method in protobuf encoding; Malformed if @p json is not one. */
 Result<std::string> requestFromJson(std::string_view method, const std::string &json);
 
-/** @return Whether @p bytes are a request of @p method. */
+/** @return Whether @p bytes is a valid request of @p method. */
 bool isRequest(std::string_view method, const std::string &bytes);
 
 /** @return The reply of @p method as JSON. */
--- a/src/adapter/platform/platform_http_store.cpp
+++ b/src/adapter/platform/platform_http_store.cpp
@@ -1,4 +1,4 @@
-/** @file platform_http_store.cpp The platform's object API over HTTP/1.1. */
+/** @file platform_http_store.cpp Client of the platform's object API over HTTP/1.1. */
 
 #include "adapter/platform/platform_http_store.h"
 
@@ -13,13 +13,13 @@
 {
     switch (response.result()) {
     case http::status::precondition_failed:
-        return {FailureCode::VersionConflict, "another version is stored"};
+        return {FailureCode::VersionConflict, "stored version differs from the expected one"};
     case http::status::payload_too_large:
-        return {FailureCode::TooLarge, "object over 1 MB"};
+        return {FailureCode::TooLarge, "object exceeds 1 MB"};
     case http::status::too_many_requests:
-        return {FailureCode::RateLimited, "platform asked for fewer calls"};
+        return {FailureCode::RateLimited, "platform rate limit exceeded"};
     case http::status::service_unavailable:
-        return {FailureCode::Unavailable, "platform is down"};
+        return {FailureCode::Unavailable, "platform unavailable"};
     default:
         return {FailureCode::Malformed,
                 "unexpected status " + std::to_string(response.result_int())};
@@ -135,7 +135,7 @@
     boost::system::error_code error;
     const auto parsed = boost::json::parse(response.assume_value().body(), error);
     if (error || !parsed.is_array()) {
-        co_return Failure{FailureCode::Malformed, "list answer is no JSON array"};
+        co_return Failure{FailureCode::Malformed, "list response is not a JSON array"};
     }
     std::vector<std::string> names;
     for (const auto &name : parsed.get_array()) {
--- a/src/adapter/platform/platform_http_store.h
+++ b/src/adapter/platform/platform_http_store.h
@@ -1,4 +1,4 @@
-/** @file platform_http_store.h The platform's object API over HTTP/1.1. */
+/** @file platform_http_store.h Client of the platform's object API over HTTP/1.1. */
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace wisteriahoist {
 
-/** The port PlatformStore over HTTP/1.1; docs/PLATFORM-API.md lists the calls. */
+/** Implements PlatformStore over HTTP/1.1; docs/PLATFORM-API.md lists the calls. */
 class PlatformHttpStore final : public PlatformStore
 {
 public:
@@ -28,7 +28,7 @@
     asio::awaitable<Result<HttpResponse>> send(HttpRequest request, milliseconds timeout);
 
     HttpClient client_;
-    milliseconds timeout_; ///< Bound of one call, a watch's wait not included.
+    milliseconds timeout_; ///< Timeout of one call, in addition to the wait of a watch.
     uint64_t callCount_ = 0;
 };
 
--- a/src/adapter/settings/declaration_loader.cpp
+++ b/src/adapter/settings/declaration_loader.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_loader.cpp Declarations from a folder of TOML files. */
+/** @file declaration_loader.cpp Loads declarations from a folder of TOML files. */
 
 #include "adapter/settings/declaration_loader.h"
 
@@ -22,7 +22,7 @@
                               ? Repetition::Idempotent
                               : Repetition::MustNotRepeat;
     rule.deadline = reader.duration("deadline_ms", rule.deadline, milliseconds(1), MaxDeadline);
-    // The default must not be longer than a short deadline.
+    // The default must not exceed a short deadline.
     rule.queueTimeout = std::min(rule.queueTimeout, rule.deadline);
     rule.queueTimeout
             = reader.duration("patience_ms", rule.queueTimeout, milliseconds(0), MaxDeadline);
@@ -55,8 +55,8 @@
 
 } // namespace
 
-void DeclarationLoader::noteLocations(const toml::table &table, const std::string &path,
-                                      const std::string &file)
+void DeclarationLoader::recordLocations(const toml::table &table, const std::string &path,
+                                        const std::string &file)
 {
     locations_[path] = {file, std::max<uint32_t>(1, table.source().begin.line)};
     for (const auto &[key, node] : table) {
@@ -68,7 +68,7 @@
 void DeclarationLoader::readService(const toml::table &table, const std::string &file)
 {
     const std::string path = "services[" + std::to_string(declarations_.services.size()) + "]";
-    noteLocations(table, path, file);
+    recordLocations(table, path, file);
     TomlReader reader(table, file, path, findings_);
     ServiceDeclaration service;
     service.name = reader.requireText("name");
@@ -82,14 +82,14 @@
     service.priority = static_cast<MeasurePriority>(
             reader.choice("priority", {"even", "unavailable-time", "churn"}, 0));
     if (const toml::table *child = reader.table("key_space", true)) {
-        noteLocations(*child, path + ".key_space", file);
+        recordLocations(*child, path + ".key_space", file);
         TomlReader keySpace(*child, file, path + ".key_space", findings_);
         service.keySpace = readKeySpace(keySpace);
     }
     for (const toml::table *child : reader.tables("route")) {
         const std::string routePath
                 = path + ".routes[" + std::to_string(service.routes.size()) + "]";
-        noteLocations(*child, routePath, file);
+        recordLocations(*child, routePath, file);
         TomlReader route(*child, file, routePath, findings_);
         service.routes.push_back(readRoute(route));
     }
@@ -135,7 +135,8 @@
 {
     const ConfigProblems problems = checkDeclarations(declarations_);
     for (const ConfigProblem &problem : problems) {
-        // A value that the reader already refused was replaced, so it says nothing here.
+        // The reader replaced a value that it reported, so problems of the replacement are
+        // irrelevant.
         if (!isReported(problem.path)) {
             const Location location = locate(problem.path);
             findings_.push_back(
@@ -155,7 +156,7 @@
         }
     }
     if (error) {
-        findings.push_back({folder, 1, "the folder cannot be read"});
+        findings.push_back({folder, 1, "cannot read folder"});
     }
     std::sort(files.begin(), files.end());
     DeclarationLoader loader(findings);
--- a/src/adapter/settings/declaration_loader.h
+++ b/src/adapter/settings/declaration_loader.h
@@ -1,4 +1,4 @@
-/** @file declaration_loader.h Declarations from a folder of TOML files. */
+/** @file declaration_loader.h Loads declarations from a folder of TOML files. */
 
 #pragma once
 
@@ -10,17 +10,17 @@
 
 namespace wisteriahoist {
 
-/** Reads files of declarations and checks them together. */
+/** Reads declaration files and validates them together. */
 class DeclarationLoader
 {
 public:
-    /** @param findings Gets everything that is wrong, each with its file and line. */
+    /** @param findings Receives all problems, each with file and line. */
     explicit DeclarationLoader(std::vector<Finding> &findings) : findings_(findings) { }
 
-    /** Reads one file's services. */
+    /** Reads the services of one file. */
     void parse(std::string_view content, const std::string &file);
 
-    /** Checks all that was read against every rule. @return The declarations. */
+    /** Validates everything read so far. @return The declarations. */
     Declarations finish();
 
 private:
@@ -30,7 +30,8 @@
     };
 
     void readService(const toml::table &table, const std::string &file);
-    void noteLocations(const toml::table &table, const std::string &path, const std::string &file);
+    void recordLocations(const toml::table &table, const std::string &path,
+                         const std::string &file);
     Location locate(std::string path) const;
     bool isReported(const std::string &path) const;
 
@@ -39,7 +40,7 @@
     std::map<std::string, Location> locations_; ///< By path within the declarations.
 };
 
-/** Reads every *.toml file of @p folder, in order of name; all findings are collected. */
+/** Reads every *.toml file of @p folder, ordered by name, and collects all findings. */
 Declarations loadDeclarations(const std::string &folder, std::vector<Finding> &findings);
 
 } // namespace wisteriahoist
--- a/src/adapter/settings/declaration_writer.cpp
+++ b/src/adapter/settings/declaration_writer.cpp
@@ -1,4 +1,4 @@
-/** @file declaration_writer.cpp Declarations as a TOML file. */
+/** @file declaration_writer.cpp Writes declarations as a TOML file. */
 
 #include "adapter/settings/declaration_writer.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** Writes entries in the order in which people read them; the library would sort them by name. */
+/** Writes entries in the given, readable order; the library would sort them by name. */
 class TomlWriter
 {
 public:
@@ -19,7 +19,7 @@
     void blankLine() { stream_ << '\n'; }
     void text(std::string_view key, std::string_view value)
     {
-        // The library quotes and escapes.
+        // The library quotes and escapes the value.
         stream_ << key << " = " << toml::value<std::string>(std::string(value)) << '\n';
     }
     void number(std::string_view key, uint64_t value) { stream_ << key << " = " << value << '\n'; }
--- a/src/adapter/settings/declaration_writer.h
+++ b/src/adapter/settings/declaration_writer.h
@@ -1,4 +1,4 @@
-/** @file declaration_writer.h Declarations as a TOML file. */
+/** @file declaration_writer.h Writes declarations as a TOML file. */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** @return A file's text; read again it gives the same services. */
+/** @return The content of a file; reading it gives the same services. */
 std::string writeDeclarations(const Declarations &declarations);
 
 } // namespace wisteriahoist
--- a/src/adapter/settings/fleet_settings.cpp
+++ b/src/adapter/settings/fleet_settings.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_settings.cpp The fleet's keys in the settings and in key files. */
+/** @file fleet_settings.cpp Reads the fleet's keys from settings and key files. */
 
 #include "adapter/settings/node_settings.h"
 
@@ -10,7 +10,10 @@
 
 constexpr size_t MaxKeyId = 32;
 
-/** @return Whether @p id can stand in a signature: no blanks or line breaks. */
+/**
+ * @return Whether @p id is valid: the fields of a signature are separated by blanks, so it must not
+ * contain blanks or line breaks.
+ */
 bool isKeyId(const std::string &id)
 {
     return !id.empty() && id.size() <= MaxKeyId
@@ -23,8 +26,7 @@
     return secret && secret->size() == FleetSecretBytes ? secret : std::nullopt;
 }
 
-const std::string SecretRule
-        = std::to_string(FleetSecretBytes * 2) + " hexadecimal digits are needed";
+const std::string SecretFormat = std::to_string(FleetSecretBytes * 2) + " hexadecimal digits";
 
 FleetKey readKey(TomlReader &reader, std::vector<Finding> &findings)
 {
@@ -35,13 +37,14 @@
     }
     key.id = reader.requireText("id");
     if (!key.id.empty() && !isKeyId(key.id)) {
-        reader.report("id", "found " + key.id + ", a to z, 0 to 9 and - are allowed");
+        reader.report("id",
+                      "found " + key.id + ", expected 1 to 32 characters of a to z, 0 to 9 and -");
     }
     const std::string hex = reader.requireText("secret");
     if (const auto secret = decodeSecret(hex)) {
         key.secret = *secret;
     } else if (!hex.empty()) {
-        reader.report("secret", SecretRule); // The value is never printed.
+        reader.report("secret", "expected " + SecretFormat); // The message omits the secret.
     }
     return key;
 }
@@ -60,7 +63,10 @@
     stream >> key.id >> hex;
     const auto secret = decodeSecret(hex);
     if (!isKeyId(key.id) || !secret) {
-        findings.push_back({file, 1, "a key id, a blank and " + SecretRule});
+        findings.push_back(
+                {file, 1,
+                 "expected a key id (1 to 32 characters of a to z, 0 to 9 and -), a space and "
+                         + SecretFormat});
         return std::nullopt;
     }
     key.secret = *secret;
@@ -75,7 +81,7 @@
 FleetKeys readFleetKeys(TomlReader &fleet, const std::string &file, std::vector<Finding> &findings)
 {
     FleetKeys keys;
-    const bool open = fleet.boolean("allow_unauthenticated", false);
+    const bool unauthenticated = fleet.boolean("allow_unauthenticated", false);
     size_t index = 0;
     for (const toml::table *table : fleet.tables("key")) {
         TomlReader reader(*table, file, "fleet.key[" + std::to_string(index++) + "]", findings);
@@ -86,11 +92,11 @@
         }
         keys.keys.push_back(std::move(key));
     }
-    if (keys.empty() && !open) {
-        fleet.report("key", "missing; keygen makes one, allow_unauthenticated = true does without");
+    if (keys.empty() && !unauthenticated) {
+        fleet.report("key", "missing; create one with keygen, or set allow_unauthenticated = true");
     }
-    if (!keys.empty() && open) {
-        fleet.report("allow_unauthenticated", "found true beside keys");
+    if (!keys.empty() && unauthenticated) {
+        fleet.report("allow_unauthenticated", "found true, but keys are configured");
     }
     return keys;
 }
--- a/src/adapter/settings/node_settings.cpp
+++ b/src/adapter/settings/node_settings.cpp
@@ -1,4 +1,4 @@
-/** @file node_settings.cpp The settings of one node. */
+/** @file node_settings.cpp Reads and validates the settings of one node. */
 
 #include "adapter/settings/node_settings.h"
 
@@ -18,7 +18,7 @@
     boost::system::error_code error;
     boost::asio::ip::make_address(ip, error);
     if (error && !ip.empty()) {
-        reader.report(key, "found " + ip + ", an IP number is needed");
+        reader.report(key, "found " + ip + ", expected an IP address");
     }
     return ip;
 }
@@ -54,7 +54,7 @@
 {
     std::ifstream stream(file);
     if (!stream) {
-        findings.push_back({file, 1, "the file cannot be read"});
+        findings.push_back({file, 1, "cannot read file"});
         return {};
     }
     std::ostringstream content;
@@ -120,7 +120,7 @@
         settings.signals = readSignals(signals);
         signals.reportUnknown();
     }
-    // Required, so that nobody runs a fleet without keys by leaving the table out.
+    // Required, so that omitting the table does not disable authentication.
     if (const toml::table *table = reader.table("fleet", true)) {
         TomlReader fleet(*table, file, "fleet", findings);
         settings.fleetKeys = readFleetKeys(fleet, file, findings);
--- a/src/adapter/settings/node_settings.h
+++ b/src/adapter/settings/node_settings.h
@@ -1,4 +1,4 @@
-/** @file node_settings.h The settings of one node, from a TOML file, checked whole at the start. */
+/** @file node_settings.h Reads and validates the settings of one node from a TOML file. */
 
 #pragma once
 
@@ -16,7 +16,7 @@
     NodeId id;
     std::string cell;
     std::string failureDomain;
-    NodeAddress address; ///< Ports of 0 become ephemeral ones.
+    NodeAddress address; ///< A port of 0 selects an ephemeral port.
     std::string platformIp;
     uint16_t platformPort = 0;
     milliseconds platformTimeout{1000};
@@ -27,34 +27,34 @@
 
 /**
  * Reads @p file.
- * @param findings Gets everything that is wrong; the settings are of use only if it stays empty.
+ * @param findings Receives all problems; the settings are valid only if it stays empty.
  */
 NodeSettings loadNodeSettings(const std::string &file, std::vector<Finding> &findings);
 
-/** Reads settings from @p content, named @p file in findings. */
+/** Reads settings from @p content; @p file is the file name in findings. */
 NodeSettings parseNodeSettings(std::string_view content, const std::string &file,
                                std::vector<Finding> &findings);
 
 /**
  * Parses @p content as TOML.
- * @return An empty table after a syntax error, which becomes a finding.
+ * @return The root table; after a syntax error a finding is added and the table is empty.
  */
 toml::table parseToml(std::string_view content, const std::string &file,
                       std::vector<Finding> &findings);
 
 /**
  * Reads the fleet's keys from the tables fleet.key, each with id and secret or file.
- * @param file The file of the settings, for findings.
+ * @param file Name of the settings file in findings.
  */
 FleetKeys readFleetKeys(TomlReader &fleet, const std::string &file, std::vector<Finding> &findings);
 
 /** Reads a key file: a single line with the key's id and its secret in hexadecimal. */
 std::optional<FleetKey> readKeyFile(const std::string &file, std::vector<Finding> &findings);
 
-/** @return The line of a key file. */
+/** @return The content of a key file. */
 std::string formatKey(const FleetKey &key);
 
-/** @return The content of @p file; a finding is added if it cannot be read. */
+/** @return The content of @p file; adds a finding if it cannot be read. */
 std::string readTextFile(const std::string &file, std::vector<Finding> &findings);
 
 } // namespace wisteriahoist
--- a/src/adapter/settings/signals_settings.cpp
+++ b/src/adapter/settings/signals_settings.cpp
@@ -11,7 +11,7 @@
 constexpr uint64_t MaxPort = 65535;
 constexpr uint64_t WholePermille = 1000;
 
-/** In the order of the enumeration. */
+/** In the order of the enumerators of LogSeverity. */
 const std::vector<std::string_view> Severities{"debug", "info", "warning", "error"};
 
 TraceSettings readTrace(TomlReader &reader)
@@ -25,10 +25,10 @@
     boost::system::error_code error;
     boost::asio::ip::make_address(trace.otlpIp, error);
     if (error && !trace.otlpIp.empty()) {
-        reader.report("otlp_ip", "found " + trace.otlpIp + ", an IP number is needed");
+        reader.report("otlp_ip", "found " + trace.otlpIp + ", expected an IP address");
     }
     if (!trace.otlpIp.empty() && !trace.file.empty()) {
-        reader.report("trace_file", "either a collector or a file, not both");
+        reader.report("trace_file", "otlp_ip and trace_file are mutually exclusive");
     }
     return trace;
 }
--- a/src/adapter/settings/signals_settings.h
+++ b/src/adapter/settings/signals_settings.h
@@ -1,4 +1,4 @@
-/** @file signals_settings.h The table [signals] of a node's settings: log and traces. */
+/** @file signals_settings.h The table [signals] of a node's settings: logging and tracing. */
 
 #pragma once
 
@@ -8,13 +8,13 @@
 
 namespace wisteriahoist {
 
-/** How a node tells what it does. */
+/** Logging and tracing settings of a node. */
 struct SignalsSettings {
-    LogSeverity severity = LogSeverity::Info; ///< Less severe events are not logged.
+    LogSeverity severity = LogSeverity::Info; ///< Lowest severity that is logged.
     TraceSettings trace;
 };
 
-/** Reads the table; what is wrong becomes a finding of @p reader. */
+/** Reads the table; problems are added to the findings of @p reader. */
 SignalsSettings readSignals(TomlReader &reader);
 
 } // namespace wisteriahoist
--- a/src/adapter/settings/toml_reader.cpp
+++ b/src/adapter/settings/toml_reader.cpp
@@ -1,4 +1,4 @@
-/** @file toml_reader.cpp Reads TOML tables and collects every finding. */
+/** @file toml_reader.cpp Reads TOML tables and reports all findings. */
 
 #include "adapter/settings/toml_reader.h"
 
@@ -39,15 +39,15 @@
     findings_.push_back({file_, std::max<uint32_t>(line, 1), name + ": " + message});
 }
 
-const toml::node *TomlReader::take(std::string_view key)
+const toml::node *TomlReader::lookUp(std::string_view key)
 {
-    asked_.emplace(key);
+    readKeys_.emplace(key);
     return table_.get(key);
 }
 
 const toml::node *TomlReader::require(std::string_view key)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     if (node == nullptr) {
         report(key, "missing");
     }
@@ -57,7 +57,7 @@
 void TomlReader::reportUnknown()
 {
     for (const auto &[key, node] : table_) {
-        if (!asked_.contains(key.str())) {
+        if (!readKeys_.contains(key.str())) {
             report(key.str(), "unknown entry");
         }
     }
@@ -71,7 +71,7 @@
     }
     const auto value = node->value_exact<std::string>();
     if (!value || value->empty()) {
-        report(key, "found " + describe(*node) + ", a text that is not empty is needed");
+        report(key, "found " + describe(*node) + ", expected a non-empty string");
         return {};
     }
     return *value;
@@ -79,13 +79,13 @@
 
 std::string TomlReader::text(std::string_view key, std::string fallback)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     if (node == nullptr) {
         return fallback;
     }
     const auto value = node->value_exact<std::string>();
     if (!value) {
-        report(key, "found " + describe(*node) + ", a text is needed");
+        report(key, "found " + describe(*node) + ", expected a string");
         return fallback;
     }
     return *value;
@@ -98,8 +98,8 @@
     const bool fits = value && *value >= 0 && static_cast<uint64_t>(*value) >= least
                       && static_cast<uint64_t>(*value) <= most;
     if (!fits) {
-        report(key, "found " + describe(*node) + ", a whole number from " + std::to_string(least)
-                            + " to " + std::to_string(most) + " is needed");
+        report(key, "found " + describe(*node) + ", expected an integer from "
+                            + std::to_string(least) + " to " + std::to_string(most));
         return fallback;
     }
     return static_cast<uint64_t>(*value);
@@ -113,19 +113,19 @@
 
 uint64_t TomlReader::number(std::string_view key, uint64_t fallback, uint64_t least, uint64_t most)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     return node == nullptr ? fallback : checkNumber(node, key, fallback, least, most);
 }
 
 bool TomlReader::boolean(std::string_view key, bool fallback)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     if (node == nullptr) {
         return fallback;
     }
     const auto value = node->value_exact<bool>();
     if (!value) {
-        report(key, "found " + describe(*node) + ", true or false is needed");
+        report(key, "found " + describe(*node) + ", expected true or false");
         return fallback;
     }
     return *value;
@@ -142,7 +142,7 @@
 size_t TomlReader::choice(std::string_view key, const std::vector<std::string_view> &names,
                           size_t fallback)
 {
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     if (node == nullptr) {
         return fallback;
     }
@@ -154,18 +154,18 @@
         }
         allowed += (index == 0 ? "" : ", ") + std::string(names[index]);
     }
-    report(key, "found " + describe(*node) + ", one of " + allowed + " is needed");
+    report(key, "found " + describe(*node) + ", expected one of " + allowed);
     return fallback;
 }
 
 const toml::table *TomlReader::table(std::string_view key, bool required)
 {
-    const toml::node *node = required ? require(key) : take(key);
+    const toml::node *node = required ? require(key) : lookUp(key);
     if (node == nullptr) {
         return nullptr;
     }
     if (!node->is_table()) {
-        report(key, "a table is needed");
+        report(key, "expected a table");
         return nullptr;
     }
     return node->as_table();
@@ -174,12 +174,12 @@
 std::vector<const toml::table *> TomlReader::tables(std::string_view key)
 {
     std::vector<const toml::table *> found;
-    const toml::node *node = take(key);
+    const toml::node *node = lookUp(key);
     if (node == nullptr) {
         return found;
     }
     if (!node->is_array_of_tables()) {
-        report(key, "an array of tables is needed");
+        report(key, "expected an array of tables");
         return found;
     }
     for (const toml::node &element : *node->as_array()) {
--- a/src/program/main.cpp
+++ b/src/program/main.cpp
@@ -13,24 +13,27 @@
 
 ABSL_FLAG(std::string, config, "", "node: the settings file");
 ABSL_FLAG(std::string, announced_peers, "",
-          "sidecar: IP:PORT where other nodes reach this one, if not where it listens");
+          "sidecar: IP:PORT at which other nodes reach this one, if not the listening address");
 ABSL_FLAG(std::string, f, "", "check, diff, apply: the folder of declarations");
-ABSL_FLAG(std::string, node_ip, "127.0.0.1", "commands that call a node: its IP number");
+ABSL_FLAG(std::string, node_ip, "127.0.0.1", "commands that call a node: its IP address");
 ABSL_FLAG(uint16_t, admin_port, 0, "commands that call a node: its admin port");
-ABSL_FLAG(std::string, key_file, "", "commands that call a node: the fleet's key, see keygen");
-ABSL_FLAG(std::string, output, "text", "what is printed: text or json");
-ABSL_FLAG(std::string, service, "", "explain: the service of the key");
-ABSL_FLAG(bool, dry_run, false, "apply: check and compare only");
+ABSL_FLAG(std::string, key_file, "",
+          "commands that call a node: file with the fleet's key, see keygen");
+ABSL_FLAG(std::string, output, "text", "output format: text or json");
+ABSL_FLAG(std::string, service, "", "explain: the service that the key belongs to");
+ABSL_FLAG(bool, dry_run, false, "apply: validate and compare only");
 ABSL_FLAG(bool, wait, false,
-          "apply: until each member has the change in force; drain: until the node owns no range");
-ABSL_FLAG(uint32_t, wait_ms, 30000, "--wait: milliseconds after which it fails");
-ABSL_FLAG(bool, cancel, false, "drain: serve again");
-ABSL_FLAG(uint64_t, term, 0, "confirm-lost: the term up to which silent members are gone");
-ABSL_FLAG(std::string, confirmed_by, "", "confirm-lost: who says so, for the record");
-ABSL_FLAG(bool, allow_delete, false, "apply: declared services may disappear");
-ABSL_FLAG(bool, allow_rehash, false, "apply: key spaces of declared services may change");
-ABSL_FLAG(bool, allow_unfence, false, "apply: services may go from fenced to unchecked");
-ABSL_FLAG(int64_t, expected_version, -1, "apply: refused if another version is stored");
+          "apply: wait until each member has applied the change; drain: until the node owns no "
+          "range");
+ABSL_FLAG(uint32_t, wait_ms, 30000, "--wait: timeout in milliseconds");
+ABSL_FLAG(bool, cancel, false, "drain: cancel the drain");
+ABSL_FLAG(uint64_t, term, 0,
+          "confirm-lost: the term up to which members that do not respond are lost");
+ABSL_FLAG(std::string, confirmed_by, "", "confirm-lost: who confirms it, for the record");
+ABSL_FLAG(bool, allow_delete, false, "apply: allow removal of declared services");
+ABSL_FLAG(bool, allow_rehash, false, "apply: allow changes of the key spaces of declared services");
+ABSL_FLAG(bool, allow_unfence, false, "apply: allow services to change from fenced to unchecked");
+ABSL_FLAG(int64_t, expected_version, -1, "apply: fail if another version is stored");
 
 namespace wisteriahoist {
 
@@ -40,7 +43,8 @@
 
   wisteriahoist node    --config FILE
   wisteriahoist sidecar [--config FILE] [--announced-peers IP:PORT]
-                        on the users' platform; default: the file that it names
+                        on the users' platform; default FILE: the one that the
+                        platform names
   wisteriahoist check   -f FOLDER
   wisteriahoist diff    -f FOLDER --admin-port N
   wisteriahoist apply   -f FOLDER --admin-port N [--dry-run] [--wait] [--expected-version N]
@@ -51,10 +55,10 @@
   wisteriahoist drain   --admin-port N [--wait] [--cancel]
   wisteriahoist confirm-lost --admin-port N --term N --confirmed-by WHO
   wisteriahoist keygen  ID
-  wisteriahoist trace-log REQUEST FILE...   the story of one request out of several logs
+  wisteriahoist trace-log REQUEST FILE...   all log lines of one request, from several logs
 
-Commands that call a node take --node-ip, --key-file and --output text|json as well.
-Exit codes: 0 done; 1 refused or failed; 2 bad usage, settings or declarations.
+Commands that call a node also accept --node-ip, --key-file and --output text|json.
+Exit codes: 0 success; 1 rejected or failed; 2 invalid usage, settings or declarations.
 --helpfull lists every flag.
 )";
 
@@ -64,7 +68,7 @@
     return ExitBadUsage;
 }
 
-/** Lets flags be written with - as well as with _, as in --dry-run. */
+/** Allows - for _ in flag names, as in --dry-run. */
 void normalizeFlags(int argc, char **argv)
 {
     for (int index = 1; index < argc; ++index) {
@@ -85,7 +89,7 @@
     ApplyOptions apply;
     apply.dryRun = absl::GetFlag(FLAGS_dry_run);
     apply.wait = absl::GetFlag(FLAGS_wait);
-    apply.waitBound = milliseconds(absl::GetFlag(FLAGS_wait_ms));
+    apply.waitTimeout = milliseconds(absl::GetFlag(FLAGS_wait_ms));
     apply.allowDelete = absl::GetFlag(FLAGS_allow_delete);
     apply.allowRehash = absl::GetFlag(FLAGS_allow_rehash);
     apply.allowUnfence = absl::GetFlag(FLAGS_allow_unfence);
@@ -97,17 +101,17 @@
 }
 
 /** Runs a command that calls a node. */
-int runCalling(const std::string &command, const std::string &argument)
+int runNodeCommand(const std::string &command, const std::string &argument)
 {
     OperatorOptions options;
     options.target = {absl::GetFlag(FLAGS_node_ip), absl::GetFlag(FLAGS_admin_port)};
     const std::string output = absl::GetFlag(FLAGS_output);
     if (output != "text" && output != "json") {
-        return reportUsage("--output: text or json is needed");
+        return reportUsage("--output: expected text or json");
     }
-    options.form = output == "json" ? OutputForm::Json : OutputForm::Text;
+    options.format = output == "json" ? OutputFormat::Json : OutputFormat::Text;
     if (options.target.port == 0) {
-        return reportUsage("--admin-port is needed");
+        return reportUsage("--admin-port is required");
     }
     const std::string keyFile = absl::GetFlag(FLAGS_key_file);
     if (!keyFile.empty()) {
@@ -120,7 +124,7 @@
     }
     const std::string folder = absl::GetFlag(FLAGS_f);
     if ((command == "diff" || command == "apply") && folder.empty()) {
-        return reportUsage("-f is needed");
+        return reportUsage("-f is required");
     }
     if (command == "diff") {
         return runDiff(folder, options);
@@ -144,20 +148,21 @@
     }
     const std::string service = absl::GetFlag(FLAGS_service);
     if (argument.empty() || service.empty()) {
-        return reportUsage("explain: KEY and --service are needed");
+        return reportUsage("explain: KEY and --service are required");
     }
     return runExplain(service, argument, options);
 }
 
-int run(const std::vector<char *> &words)
+int run(const std::vector<char *> &arguments)
 {
-    const std::string command = words.size() > 1 ? words[1] : "";
-    if (command == "trace-log" && words.size() > 3) {
-        return runTraceLog(words[2], {words.begin() + 3, words.end()});
+    const std::string command = arguments.size() > 1 ? arguments[1] : "";
+    if (command == "trace-log" && arguments.size() > 3) {
+        return runTraceLog(arguments[2], {arguments.begin() + 3, arguments.end()});
     }
     const size_t expected = command == "explain" || command == "keygen" ? 3 : 2;
-    if (words.size() != expected) {
-        return reportUsage(command.empty() ? "a command is needed" : command + ": wrong arguments");
+    if (arguments.size() != expected) {
+        return reportUsage(command.empty() ? "missing command"
+                                           : command + ": wrong number of arguments");
     }
     if (command == "sidecar") {
         return platform::runSidecarCommand(
@@ -168,17 +173,17 @@
     }
     if (command == "check") {
         const std::string folder = absl::GetFlag(FLAGS_f);
-        return folder.empty() ? reportUsage("-f is needed") : runCheck(folder);
+        return folder.empty() ? reportUsage("-f is required") : runCheck(folder);
     }
     if (command == "keygen") {
-        return runKeygen(words[2]);
+        return runKeygen(arguments[2]);
     }
-    const std::vector<std::string> calling{"diff",   "apply", "status",      "explain",
-                                           "export", "drain", "confirm-lost"};
-    if (std::find(calling.begin(), calling.end(), command) == calling.end()) {
+    const std::vector<std::string> nodeCommands{"diff",   "apply", "status",      "explain",
+                                                "export", "drain", "confirm-lost"};
+    if (std::find(nodeCommands.begin(), nodeCommands.end(), command) == nodeCommands.end()) {
         return reportUsage("unknown command " + command);
     }
-    return runCalling(command, words.size() > 2 ? words[2] : "");
+    return runNodeCommand(command, arguments.size() > 2 ? arguments[2] : "");
 }
 
 } // namespace
--- a/src/program/node_program.cpp
+++ b/src/program/node_program.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-constexpr size_t RequestRing = 1024; ///< Requests under way between two duties.
-constexpr size_t ControlRing = 256;
+constexpr size_t RequestRingSize = 1024; ///< Capacity: requests in transit between two duties.
+constexpr size_t ControlRingSize = 256;
 
 MemberInfo makeSelf(const NodeSettings &settings, const NodeAddress &address)
 {
     MemberInfo self;
     self.id = settings.id;
-    // The wall clock makes a later start a higher incarnation, also on a replaced VM.
+    // The wall clock gives a later start a higher incarnation, even on a replaced VM.
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
     self.incarnation = Incarnation(
             static_cast<uint64_t>(std::chrono::duration_cast<milliseconds>(wall).count()));
@@ -35,12 +35,12 @@
 
 NodeProgram::NodeProgram(const NodeSettings &settings)
     : telemetry_(clock_, settings.id, settings.signals.trace),
-      ingressToGate_(ingressThread_.context(), gateThread_.context(), RequestRing),
-      peerToGate_(peerThread_.context(), gateThread_.context(), RequestRing),
-      peerToControl_(peerThread_.context(), controlThread_.context(), ControlRing),
-      adminToControl_(adminThread_.context(), controlThread_.context(), ControlRing),
-      controlToIngress_(controlThread_.context(), ingressThread_.context(), ControlRing),
-      controlToGate_(controlThread_.context(), gateThread_.context(), ControlRing),
+      ingressToGate_(ingressThread_.context(), gateThread_.context(), RequestRingSize),
+      peerToGate_(peerThread_.context(), gateThread_.context(), RequestRingSize),
+      peerToControl_(peerThread_.context(), controlThread_.context(), ControlRingSize),
+      adminToControl_(adminThread_.context(), controlThread_.context(), ControlRingSize),
+      controlToIngress_(controlThread_.context(), ingressThread_.context(), ControlRingSize),
+      controlToGate_(controlThread_.context(), gateThread_.context(), ControlRingSize),
       platform_(controlThread_.context().get_executor(), settings.platformIp, settings.platformPort,
                 settings.platformTimeout),
       meteredPlatform_(platform_, telemetry_.platform()),
@@ -62,13 +62,14 @@
         peer_.requireHello(settings.fleetKeys);
         ingress_.authenticateWith(settings.fleetKeys);
         control_->authenticateWith(settings.fleetKeys);
-        watchRefusals("operator", admin_.refusals());
-        watchRefusals("peer", *peer_.refusals());
+        registerRefusalMetrics("operator", admin_.refusals());
+        registerRefusalMetrics("peer", *peer_.refusals());
     }
-    ingressToGate_.serve([this](v1::HopRequest request) { return passGate(std::move(request)); });
+    ingressToGate_.serve(
+            [this](v1::HopRequest request) { return executeAtGate(std::move(request)); });
     peerToGate_.serve([this](v1::HopRequest request) {
         telemetry_.gate().hops.add();
-        return passGate(std::move(request));
+        return executeAtGate(std::move(request));
     });
     peerToControl_.serve([this](std::string body) { return control_->onRenew(std::move(body)); });
     adminToControl_.serve([this](AdminCall call) { return control_->onAdmin(std::move(call)); });
@@ -80,7 +81,7 @@
         telemetry_.onGrant(grant);
         return gate_.onGrant(std::move(grant));
     });
-    watchSignals();
+    registerTelemetry();
     if (settings.signals.trace.isEnabled()) {
         makeTraceDuty(settings);
     }
@@ -100,7 +101,7 @@
             std::vector<DutyTracer *>{&telemetry_.ingressTracer(), &telemetry_.gateTracer()});
 }
 
-asio::awaitable<v1::HopReply> NodeProgram::passGate(v1::HopRequest request)
+asio::awaitable<v1::HopReply> NodeProgram::executeAtGate(v1::HopRequest request)
 {
     if (request.cancel()) {
         co_return co_await gate_.onRequest(std::move(request));
@@ -115,7 +116,7 @@
     co_return reply;
 }
 
-void NodeProgram::watchSignals()
+void NodeProgram::registerTelemetry()
 {
     telemetry_.watchLoop("ingress", ingressThread_.context());
     telemetry_.watchLoop("peer", peerThread_.context());
@@ -130,13 +131,13 @@
     telemetry_.watchRing("control-gate", controlToGate_);
 }
 
-void NodeProgram::watchRefusals(const std::string &side, const AuthCounters &counters)
+void NodeProgram::registerRefusalMetrics(const std::string &side, const AuthCounters &counters)
 {
     for (size_t index = 0; index < AuthRefusalCount; ++index) {
         const auto refusal = static_cast<AuthRefusal>(index);
         telemetry_.registry().addComputed(
                 {"wisteriahoist_auth_refused_total",
-                 "Calls and hellos refused for their credential.", MetricKind::Counter},
+                 "Calls and hellos rejected for invalid credentials.", MetricKind::Counter},
                 {{"side", side}, {"cause", std::string(refusalName(refusal))}},
                 [&counters, refusal](TimePoint) {
                     return static_cast<double>(counters.countOf(refusal));
@@ -184,21 +185,22 @@
 
 namespace {
 
-constexpr milliseconds DrainPoll{20};
+constexpr milliseconds DrainPollInterval{20};
 
-/** Waits for a signal, then drains @p node. @return What was still open at the end. */
+/** Waits for a signal, drains @p node and prints what was still open at the end. */
 asio::awaitable<void> drainOnSignal(NodeProgram &node, asio::signal_set &set)
 {
     co_await set.async_wait(asio::use_awaitable);
     logEvent(LogEvent::NodeStopping);
     node.beginDrain();
-    const auto cut = std::make_shared<bool>(false);
-    set.async_wait([cut](const boost::system::error_code &error, int) { *cut = !error; });
+    const auto interrupted = std::make_shared<bool>(false);
+    set.async_wait(
+            [interrupted](const boost::system::error_code &error, int) { *interrupted = !error; });
     const auto start = std::chrono::steady_clock::now();
     asio::steady_timer timer(co_await asio::this_coro::executor);
     DrainStep step = DrainStep::Wait;
-    while (step == DrainStep::Wait && !*cut) {
-        timer.expires_after(DrainPoll);
+    while (step == DrainStep::Wait && !*interrupted) {
+        timer.expires_after(DrainPollInterval);
         co_await timer.async_wait(asio::use_awaitable);
         const Duration elapsed = std::chrono::steady_clock::now() - start;
         step = decideDrain(node.drainProgress(), elapsed, DrainLimits{});
@@ -237,7 +239,7 @@
         node.stop();
         logEvent(LogEvent::NodeStopped);
     } catch (const boost::system::system_error &error) {
-        std::cerr << "cannot start: " << error.what() << '\n';
+        std::cerr << "node cannot start: " << error.what() << '\n';
         return 1;
     }
     return 0;
--- a/src/program/node_program.h
+++ b/src/program/node_program.h
@@ -1,4 +1,4 @@
-/** @file node_program.h The node command: wires ports, adapters and duties of one process. */
+/** @file node_program.h The node command: connects ports, adapters and duties of one process. */
 
 #pragma once
 
@@ -18,7 +18,7 @@
 
 namespace wisteriahoist {
 
-/** One node: five duties, a thread each, joined by bounded rings. */
+/** One node: five duties, each on its own thread, connected by bounded rings. */
 class NodeProgram
 {
 public:
@@ -28,23 +28,23 @@
     void start();
     void stop();
 
-    /** Stops accepting callers and hands its ranges over; what is open goes on. */
+    /** Stops accepting callers and hands over all ranges; open requests continue. */
     void beginDrain();
 
-    /** @return What is still open here. */
+    /** @return Ranges still owned and requests still open. */
     DrainProgress drainProgress() const;
 
-    /** @return The node's addresses with the ports that were bound. */
+    /** @return The node's addresses, with the bound ports. */
     const NodeAddress &address() const { return address_; }
 
 private:
-    void watchSignals();
+    void registerTelemetry();
     void makeTraceDuty(const NodeSettings &settings);
-    void watchRefusals(const std::string &side, const AuthCounters &counters);
-    asio::awaitable<v1::HopReply> passGate(v1::HopRequest request);
+    void registerRefusalMetrics(const std::string &side, const AuthCounters &counters);
+    asio::awaitable<v1::HopReply> executeAtGate(v1::HopRequest request);
 
     BootClockAdapter clock_;
-    NodeTelemetry telemetry_; ///< Before the threads, so that it outlives them.
+    NodeTelemetry telemetry_; ///< Declared before the threads so that it outlives them.
     DutyThread ingressThread_{"ingress"};
     DutyThread peerThread_{"peer"};
     DutyThread gateThread_{"gate"};
@@ -67,13 +67,13 @@
     AdminDuty admin_;
     NodeAddress address_;
     std::unique_ptr<TraceDuty> trace_;     ///< Present if spans are exported.
-    std::unique_ptr<ControlDuty> control_; ///< Made last: it needs the bound ports.
+    std::unique_ptr<ControlDuty> control_; ///< Created last, since it needs the bound ports.
 };
 
 /**
- * Runs a node until SIGTERM or SIGINT, then drains it. A second signal, or the bound of the drain,
- * ends it at once; what that cuts is printed.
- * @return The exit code: 0 done, 1 failed, 2 bad settings.
+ * Runs a node until SIGTERM or SIGINT, then drains it. A second signal or the time limit of the
+ * drain ends the process immediately; the number of aborted requests and of ranges left is printed.
+ * @return The exit code: 0 success, 1 failure, 2 invalid settings.
  */
 int runNode(const std::string &settingsFile);
 
--- a/src/program/operator_client.cpp
+++ b/src/program/operator_client.cpp
@@ -1,4 +1,4 @@
-/** @file operator_client.cpp Calls of the operators' service from the command line. */
+/** @file operator_client.cpp Command-line client of the operator service. */
 
 #include "program/operator_client.h"
 
@@ -66,13 +66,13 @@
         return std::move(answer).as_failure();
     }
     if (!reply.ParseFromString(answer.assume_value())) {
-        return Failure{FailureCode::Malformed, "reply of " + method};
+        return Failure{FailureCode::Malformed, "invalid reply of " + method};
     }
     return boost::outcome_v2::success();
 }
 
 std::vector<Result<v1::StatusReply>>
-OperatorClient::askAll(const google::protobuf::RepeatedPtrField<v1::Member> &roster) const
+OperatorClient::queryAll(const google::protobuf::RepeatedPtrField<v1::Member> &roster) const
 {
     asio::io_context context;
     std::vector<Result<v1::StatusReply>> replies(static_cast<size_t>(roster.size()),
--- a/src/program/operator_client.h
+++ b/src/program/operator_client.h
@@ -1,4 +1,4 @@
-/** @file operator_client.h Calls of the operators' service from the command line. */
+/** @file operator_client.h Command-line client of the operator service. */
 
 #pragma once
 
@@ -13,37 +13,40 @@
 
 namespace wisteriahoist {
 
-/** Where an operator's call goes: any node's admin address. */
+/** Target of an operator call: the admin address of any node. */
 struct OperatorTarget {
     std::string ip = "127.0.0.1";
     uint16_t port = 0;
 };
 
-/** @return A call of @p method in protobuf form, signed if there are @p keys. */
+/** @return A protobuf call of @p method; signed if @p keys is not empty. */
 HttpRequest makeOperatorCall(const FleetKeys &keys, const OperatorTarget &target,
                              const std::string &method, std::string body, WallTime now);
 
-/** Makes calls and waits for their replies. */
+/** Sends calls and waits for their replies. */
 class OperatorClient
 {
 public:
-    /** @param keys The first signs; empty: calls are not signed. */
+    /** @param keys The first one signs; empty: calls are not signed. */
     OperatorClient(OperatorTarget target, FleetKeys keys, milliseconds timeout)
         : target_(std::move(target)), keys_(std::move(keys)), timeout_(timeout)
     { }
 
     /**
-     * Makes one call.
+     * Sends one call.
      * @param method A method's name in the schema.
-     * @param reply Gets the reply.
-     * @return Ambiguous or DeadlineExceeded if the node may have acted.
+     * @param reply Receives the reply.
+     * @return Ambiguous or DeadlineExceeded if the node may have executed the call.
      */
     Result<void> call(const std::string &method, const google::protobuf::Message &request,
                       google::protobuf::Message &reply) const;
 
-    /** Asks every member of @p roster for its own status, all at once; in the roster's order. */
+    /**
+     * Queries the status of every member of @p roster concurrently. @return Replies in the order of
+     * the roster.
+     */
     std::vector<Result<v1::StatusReply>>
-    askAll(const google::protobuf::RepeatedPtrField<v1::Member> &roster) const;
+    queryAll(const google::protobuf::RepeatedPtrField<v1::Member> &roster) const;
 
 private:
     asio::awaitable<Result<std::string>> exchange(OperatorTarget target, std::string method,
@@ -51,7 +54,7 @@
 
     OperatorTarget target_;
     FleetKeys keys_;
-    milliseconds timeout_; ///< Bound of one call.
+    milliseconds timeout_; ///< Timeout of one call.
 };
 
 } // namespace wisteriahoist
--- a/src/program/operator_output.cpp
+++ b/src/program/operator_output.cpp
@@ -1,4 +1,4 @@
-/** @file operator_output.cpp How the operators' commands print replies. */
+/** @file operator_output.cpp Output of the operator commands. */
 
 #include "program/operator_output.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** @return An enumerator as people read it: PROBLEM_CODE_TOO_LARGE becomes too-large. */
+/** @return A readable form of an enumerator's name: PROBLEM_CODE_TOO_LARGE becomes too-large. */
 std::string readableName(std::string name, std::string_view prefix)
 {
     if (name.starts_with(prefix)) {
--- a/src/program/operator_output.h
+++ b/src/program/operator_output.h
@@ -1,4 +1,4 @@
-/** @file operator_output.h How the operators' commands print replies. */
+/** @file operator_output.h Output of the operator commands. */
 
 #pragma once
 
@@ -10,15 +10,15 @@
 
 namespace wisteriahoist {
 
-/** The form of what the commands print. */
-enum class OutputForm {
-    Text, ///< For people.
-    Json, ///< The reply by protobuf's JSON mapping.
+/** Output format of the commands. */
+enum class OutputFormat {
+    Text, ///< Human-readable.
+    Json, ///< The reply in protobuf's JSON mapping.
 };
 
 constexpr int ExitDone = 0;
-constexpr int ExitFailed = 1;   ///< Refused or failed; the typed reason was printed.
-constexpr int ExitBadUsage = 2; ///< Bad usage, settings or declarations.
+constexpr int ExitFailed = 1;   ///< Rejected or failed; the error code and message were printed.
+constexpr int ExitBadUsage = 2; ///< Invalid usage, settings or declarations.
 
 /** Prints @p message as JSON on one line. */
 void printJson(const google::protobuf::Message &message);
--- a/src/program/operator_program.cpp
+++ b/src/program/operator_program.cpp
@@ -1,4 +1,4 @@
-/** @file operator_program.cpp The operators' commands. */
+/** @file operator_program.cpp The operator commands. */
 
 #include "program/operator_program.h"
 
@@ -23,25 +23,28 @@
 
 using SteadyClock = std::chrono::steady_clock;
 
-uint64_t drawRequestId()
+uint64_t randomRequestId()
 {
     std::random_device device;
     std::uniform_int_distribution<uint64_t> ids(1);
     return ids(device);
 }
 
-bool mayHaveActed(const Failure &failure)
+bool mayHaveExecuted(const Failure &failure)
 {
     return failure.code == FailureCode::Ambiguous || failure.code == FailureCode::DeadlineExceeded;
 }
 
-/** Repeats an unclear call under its request id: it acts once, however often it arrives. */
+/**
+ * Retries a call with an unknown outcome under the same request id; the node executes it once,
+ * however often it arrives.
+ */
 Result<void> callApply(const OperatorClient &client, const v1::ApplyRequest &request,
                        v1::ApplyReply &reply)
 {
     Result<void> called = client.call("Apply", request, reply);
     for (uint32_t count = 1; count < ApplyAttempts && !called; ++count) {
-        if (!mayHaveActed(called.assume_error())) {
+        if (!mayHaveExecuted(called.assume_error())) {
             break;
         }
         called = client.call("Apply", request, reply);
@@ -49,10 +52,10 @@
     return called;
 }
 
-/** Fills in what each member of the reply's roster has in force, by asking it. */
-void askMembers(const OperatorClient &client, v1::StatusReply &reply)
+/** Fills in the configuration version that each member of the reply's roster has applied. */
+void queryMembers(const OperatorClient &client, v1::StatusReply &reply)
 {
-    const auto answers = client.askAll(reply.roster());
+    const auto answers = client.queryAll(reply.roster());
     reply.clear_member_configs();
     for (int index = 0; index < reply.roster_size(); ++index) {
         const Result<v1::StatusReply> &answer = answers[static_cast<size_t>(index)];
@@ -65,7 +68,7 @@
     }
 }
 
-/** @return How many members do not have @p version in force, or cannot be asked. */
+/** @return Number of members that have not applied @p version or are unreachable. */
 size_t countLagging(const v1::StatusReply &status, uint64_t version)
 {
     size_t lagging = 0;
@@ -87,15 +90,15 @@
     }
     const Failure failure{FailureCode::DeadlineExceeded,
                           "version " + std::to_string(version)
-                                  + " is accepted, but not yet in force everywhere"};
+                                  + " is accepted, but not yet applied by all members"};
     return reportFailure(failure);
 }
 
 /**
- * Waits until every member of the roster has @p version. The roster is read again each time, so
- * that a member that is lost meanwhile is waited for only until the coordinator has dropped it.
+ * Waits until every member of the roster has applied @p version. It reads the roster again each
+ * time, so that it waits for a lost member only until the coordinator has removed it.
  */
-int waitInForce(const OperatorOptions &options, uint64_t version, milliseconds bound)
+int waitUntilApplied(const OperatorOptions &options, uint64_t version, milliseconds bound)
 {
     const OperatorClient client(options.target, options.keys, MemberTimeout);
     const auto start = SteadyClock::now();
@@ -104,11 +107,11 @@
         v1::StatusReply latest;
         if (client.call("Status", v1::StatusRequest(), latest)) {
             status = std::move(latest);
-            askMembers(client, status);
+            queryMembers(client, status);
             if (status.roster_size() > 0 && countLagging(status, version) == 0) {
                 const auto taken
                         = std::chrono::duration_cast<milliseconds>(SteadyClock::now() - start);
-                std::cout << "in force at " << status.roster_size() << " nodes after "
+                std::cout << "applied by " << status.roster_size() << " nodes after "
                           << taken.count() << " ms\n";
                 return ExitDone;
             }
@@ -155,7 +158,7 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else {
         printChanges(reply.changes());
@@ -174,7 +177,7 @@
     }
     v1::ApplyRequest request;
     *request.mutable_configuration() = encodeConfiguration(declarations);
-    request.set_request_id(drawRequestId());
+    request.set_request_id(randomRequestId());
     request.set_dry_run(apply.dryRun);
     request.set_allow_delete(apply.allowDelete);
     request.set_allow_rehash(apply.allowRehash);
@@ -188,17 +191,17 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     }
     if (reply.problems_size() > 0) {
         return reportProblems(reply.problems());
     }
-    if (options.form == OutputForm::Text) {
+    if (options.format == OutputFormat::Text) {
         printApplied(reply, apply);
     }
     if (apply.wait && !apply.dryRun) {
-        return waitInForce(options, reply.version(), apply.waitBound);
+        return waitUntilApplied(options, reply.version(), apply.waitTimeout);
     }
     return ExitDone;
 }
@@ -213,8 +216,8 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    askMembers(OperatorClient(options.target, options.keys, MemberTimeout), reply);
-    if (options.form == OutputForm::Json) {
+    queryMembers(OperatorClient(options.target, options.keys, MemberTimeout), reply);
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else {
         printStatus(reply);
@@ -233,7 +236,7 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else if (reply.problems().empty()) {
         printExplanation(reply);
@@ -249,7 +252,7 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else if (reply.problems().empty()) {
         std::cout << "# Version " << reply.version() << ".\n"
@@ -271,13 +274,13 @@
         if (!called) {
             return reportFailure(called.assume_error());
         }
-        const bool late = SteadyClock::now() - start >= drain.waitBound;
+        const bool late = SteadyClock::now() - start >= drain.waitTimeout;
         finished = !drain.wait || drain.cancel || reply.owned_ranges() == 0 || late;
         if (!finished) {
             std::this_thread::sleep_for(PollInterval);
         }
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else {
         std::cout << (reply.draining() ? "draining" : "serving") << "  ranges "
@@ -301,7 +304,7 @@
     if (!called) {
         return reportFailure(called.assume_error());
     }
-    if (options.form == OutputForm::Json) {
+    if (options.format == OutputFormat::Json) {
         printJson(reply);
     } else if (reply.problems().empty()) {
         std::cout << "confirmed up to term " << reply.term() << '\n';
--- a/src/program/operator_program.h
+++ b/src/program/operator_program.h
@@ -1,4 +1,4 @@
-/** @file operator_program.h The operators' commands. */
+/** @file operator_program.h The operator commands. */
 
 #pragma once
 
@@ -10,59 +10,59 @@
 
 namespace wisteriahoist {
 
-/** What every command that calls a node needs. */
+/** Options of all commands that call a node. */
 struct OperatorOptions {
     OperatorTarget target;
-    FleetKeys keys; ///< The first signs; empty: calls are not signed.
-    OutputForm form = OutputForm::Text;
+    FleetKeys keys; ///< The first one signs; empty: calls are not signed.
+    OutputFormat format = OutputFormat::Text;
 };
 
-/** What only apply needs. */
+/** Options of apply. */
 struct ApplyOptions {
     bool dryRun = false;
-    bool wait = false;             ///< Until each member has the version in force.
-    milliseconds waitBound{30000}; ///< For wait.
+    bool wait = false;               ///< Wait until each member has applied the version.
+    milliseconds waitTimeout{30000}; ///< For wait.
     bool allowDelete = false;
     bool allowRehash = false;
     bool allowUnfence = false;
     std::optional<uint64_t> expectedVersion;
 };
 
-/** Checks a folder of declarations without contacting anything. @return 0, or 2 with findings. */
+/** Validates a folder of declarations offline. @return 0, or 2 with findings. */
 int runCheck(const std::string &folder);
 
-/** Prints what an apply would change. @return 0, 1 failed, 2 bad declarations. */
+/** Prints what apply would change. @return 0, 1 failed, 2 invalid declarations. */
 int runDiff(const std::string &folder, const OperatorOptions &options);
 
-/** Puts a folder of declarations in force. @return 0, 1 refused or failed, 2 bad declarations. */
+/** Applies a folder of declarations. @return 0, 1 rejected or failed, 2 invalid declarations. */
 int runApply(const std::string &folder, const OperatorOptions &options, const ApplyOptions &apply);
 
-/** Prints what a node knows, and which members lag. @return 0, or 1 if it cannot be reached. */
+/** Prints the status of a node and which members lag. @return 0, or 1 if it is unreachable. */
 int runStatus(const OperatorOptions &options);
 
-/** Prints where a key lies and who serves it. @return 0, or 1. */
+/** Prints the range and the owner of a key, and the reason. @return 0, or 1. */
 int runExplain(const std::string &service, const std::string &key, const OperatorOptions &options);
 
 /** Prints the stored configuration as declarations. @return 0, or 1. */
 int runExport(const OperatorOptions &options);
 
-/** What only drain needs. */
+/** Options of drain. */
 struct DrainOptions {
     bool cancel = false;
-    bool wait = false;             ///< Until the node owns no range.
-    milliseconds waitBound{30000}; ///< For wait.
+    bool wait = false;               ///< Wait until the node owns no range.
+    milliseconds waitTimeout{30000}; ///< For wait.
 };
 
-/** Takes the called node out of service, or back in. @return 0, or 1. */
+/** Drains the called node, or cancels its drain. @return 0, or 1. */
 int runDrain(const OperatorOptions &options, const DrainOptions &drain);
 
 /**
- * Says that whatever has not acknowledged a term above @p term is gone for good.
+ * Confirms that members which have not acknowledged a term above @p term are permanently lost.
  * @return 0, or 1.
  */
 int runConfirmLost(const OperatorOptions &options, uint64_t term, const std::string &confirmedBy);
 
-/** Prints a new key named @p id in the form of a key file. @return 0. */
+/** Prints a new key with id @p id in key-file format. @return 0. */
 int runKeygen(const std::string &id);
 
 } // namespace wisteriahoist
--- a/src/program/sidecar_program.cpp
+++ b/src/program/sidecar_program.cpp
@@ -1,4 +1,4 @@
-/** @file sidecar_program.cpp One node beside a backend server on the users' platform. */
+/** @file sidecar_program.cpp A node beside a backend server on the users' platform. */
 
 #include "program/sidecar_program.h"
 
@@ -17,18 +17,22 @@
 
 namespace {
 
-/** The platform asks for readiness once a second and needs two misses to send no more callers. */
-constexpr milliseconds ReadinessGap{2500};
+/** The platform polls readiness once a second and stops sending callers after two failed polls. */
+constexpr milliseconds CallerRemovalDelay{2500};
 /**
- * The backend server stays reachable for so long after the request to end. Closed at once, it stood
- * idle for the whole stop: 3 to 6 s for each of four nodes that were restarted a second apart.
+ * Time from the shutdown request until other nodes are notified to send no more requests and
+ * keyless requests are rejected here. With no delay the backend server stood idle for the whole
+ * shutdown: 3 to 6 s for each of four nodes that were restarted one second apart.
  */
-constexpr milliseconds GateClose{1800};
-/** Left of the time to end when everything is cut that still runs: ending itself takes some. */
-constexpr milliseconds EndMargin{300};
-constexpr milliseconds StopPoll{20};
-/** The file is small, and what may change in it while the process runs is not urgent. */
-constexpr milliseconds SettingsPoll{5000};
+constexpr milliseconds GateCloseDelay{1800};
+/**
+ * Reserve before the shutdown timeout when open requests are aborted, since ending the
+ * process takes time.
+ */
+constexpr milliseconds ShutdownMargin{300};
+constexpr milliseconds StopPollInterval{20};
+/** Reading the small file is cheap, and settings that may change at run time are not urgent. */
+constexpr milliseconds SettingsPollInterval{5000};
 
 GrantTimes makeGrantTimes(const SidecarSettings &settings)
 {
@@ -41,7 +45,8 @@
 
 NodeId makeNodeId(const SidecarSettings &settings)
 {
-    // A VM that replaces another one may get its name; at another address it is another node.
+    // The address is part of the id, since a VM that replaces another one may get its name but is a
+    // different node.
     return NodeId(hashKey(settings.name + "@" + settings.peers.ip, 0).value() | 1U);
 }
 
@@ -50,9 +55,9 @@
     MemberRecord self;
     self.node = node;
     self.name = settings.name;
-    const Endpoint &reached = settings.announcedPeers.value_or(settings.peers);
-    self.ip = reached.ip;
-    self.peerPort = reached.port;
+    const Endpoint &announced = settings.announcedPeers.value_or(settings.peers);
+    self.ip = announced.ip;
+    self.peerPort = announced.port;
     self.failureDomain = settings.failureDomain;
     self.service = settings.service;
     self.cpuShare = settings.cpuShare;
@@ -86,7 +91,7 @@
 
 SidecarProgram::SidecarProgram(asio::io_context &context, const SidecarSettings &settings,
                                const SidecarPorts &ports)
-    : context_(context), settings_(settings), known_(settings), ports_(ports),
+    : context_(context), settings_(settings), lastRead_(settings), ports_(ports),
       node_(makeNodeId(settings)), peers_(context, settings.peers.ip, settings.peers.port),
       relay_(ports.store, clock_, peers_, view_, node_),
       store_(context, relay_, clock_, peers_, view_, makeSelf(settings, node_)), timers_(context),
@@ -107,12 +112,13 @@
 {
     peers_.identifyAs(node_);
     view_.onChange([this]() {
-        callers_->setLimits(makeCallerLimits(
+        callerServer_->setLimits(makeCallerLimits(
                 view_.routes().config() ? view_.routes().config()->limits : CallerLimits{}));
         ranges_.wake();
     });
     publisher_.onPreviousRecord([this](const MemberRecord &earlier) {
-        // What an earlier life of this process has acknowledged binds this one too.
+        // An acknowledged deregistration or drain from the previous run of this process is still
+        // binding.
         if (earlier.state == BackendState::Draining && monitor_.onDeregister(earlier.backend)) {
             onBackendChange();
         }
@@ -135,20 +141,20 @@
         server->start();
         return server;
     };
-    callers_ = listen(settings_.callers,
-                      CancellableHttpHandler([this](HttpRequest request,
-                                                    std::shared_ptr<DisconnectSignal> caller) {
-                          return router_.onRequest(std::move(request), std::move(caller));
-                      }));
-    reports_ = listen(settings_.reports, HttpHandler([this](HttpRequest request) {
-                          return onReport(std::move(request));
-                      }));
-    readiness_ = listen(settings_.readiness, HttpHandler([this](HttpRequest request) {
-                            return onReadiness(std::move(request));
-                        }));
-    metricsPage_ = listen(settings_.metrics, HttpHandler([this](HttpRequest request) {
-                              return onMetrics(std::move(request));
-                          }));
+    callerServer_ = listen(settings_.callers,
+                           CancellableHttpHandler([this](HttpRequest request,
+                                                         std::shared_ptr<DisconnectSignal> caller) {
+                               return router_.onRequest(std::move(request), std::move(caller));
+                           }));
+    reportServer_ = listen(settings_.reports, HttpHandler([this](HttpRequest request) {
+                               return onReport(std::move(request));
+                           }));
+    readinessServer_ = listen(settings_.readiness, HttpHandler([this](HttpRequest request) {
+                                  return onReadiness(std::move(request));
+                              }));
+    metricsServer_ = listen(settings_.metrics, HttpHandler([this](HttpRequest request) {
+                                return onMetrics(std::move(request));
+                            }));
     peers_.start();
     sync_.start();
     publisher_.start();
@@ -189,15 +195,15 @@
     if (!call) {
         const Failure &failure = call.assume_error();
         const bool missing = failure.code == FailureCode::NotFound;
-        if (reportLines_.tryTake(receivedAt)) {
-            reportLines_.log({{"cause", failure.context}});
+        if (reportLog_.tryTake(receivedAt)) {
+            reportLog_.log({{"cause", failure.context}});
         }
         co_return makeProblemResponse(
                 {missing ? http::status::not_found : http::status::bad_request,
                  failureName(failure.code), failure.context, milliseconds(0)});
     }
     std::optional<GrantReply> order;
-    if (!call.assume_value().deregisters) {
+    if (!call.assume_value().isDeregistration) {
         order = co_await answerHeartbeat(call.assume_value().report, receivedAt);
     } else if (monitor_.onDeregister(call.assume_value().report.backend)) {
         onBackendChange();
@@ -208,7 +214,7 @@
 Result<BackendCall> SidecarProgram::readReport(const HttpRequest &request)
 {
     Result<BackendCall> call = ports_.decodeReport(request);
-    if (!call || call.assume_value().deregisters) {
+    if (!call || call.assume_value().isDeregistration) {
         return call;
     }
     const std::optional<Failure> refusal
@@ -256,40 +262,41 @@
                              [read](TimePoint) { return static_cast<double>(read()); });
     };
     const RouterCounters &counters = router_.counters();
-    counter("wisteriahoist_requests_total", "Requests of callers.",
+    counter("wisteriahoist_requests_total", "Requests from callers.",
             [&counters]() { return counters.requests; });
     counter("wisteriahoist_served_total", "Requests answered by a backend server.",
             [&counters]() { return counters.served; });
-    counter("wisteriahoist_not_run_total", "Requests refused before they ran.",
+    counter("wisteriahoist_not_run_total", "Requests rejected without being executed.",
             [&counters]() { return counters.notRun; });
-    counter("wisteriahoist_unknown_total", "Requests whose outcome is not known.",
+    counter("wisteriahoist_unknown_total", "Requests with an unknown outcome.",
             [&counters]() { return counters.unknown; });
-    counter("wisteriahoist_forwarded_total", "Attempts at other nodes.",
+    counter("wisteriahoist_forwarded_total", "Attempts forwarded to other nodes.",
             [&counters]() { return counters.forwarded; });
-    counter("wisteriahoist_repeats_total", "Attempts that drew on the retry budget.",
+    counter("wisteriahoist_repeats_total", "Attempts charged to the retry budget.",
             [&counters]() { return counters.retries; });
-    counter("wisteriahoist_callers_gone_total", "Callers that left before their answer.",
+    counter("wisteriahoist_callers_gone_total", "Callers that disconnected before the response.",
             [&counters]() { return counters.callersDisconnected; });
     counter("wisteriahoist_throttled_total",
-            "Requests refused on arrival, since their service was full everywhere.",
+            "Requests rejected on arrival because their service had no free capacity on any node.",
             [&counters]() { return counters.throttled; });
     registerStoreCalls();
-    counter("wisteriahoist_log_lines_dropped_total", "Lines of requests over the log's budget.",
+    counter("wisteriahoist_log_lines_dropped_total", "Request log lines dropped by the rate limit.",
             [this]() { return router_.droppedLines(); });
     router_.observeWith(metrics_.addHistogram("wisteriahoist_request_seconds",
-                                              "From a caller's request to its answer."));
-    gate_.observeWith(metrics_.addHistogram("wisteriahoist_backend_seconds",
-                                            "From handing a request over to the answer."));
-    gauge("wisteriahoist_config_version", "Configuration in force.",
+                                              "Time from a caller's request to the response."));
+    gate_.observeWith(metrics_.addHistogram(
+            "wisteriahoist_backend_seconds",
+            "Time from sending a request to the backend server to its response."));
+    gauge("wisteriahoist_config_version", "Version of the applied configuration.",
           [this]() { return view_.routes().version(); });
-    gauge("wisteriahoist_members", "Nodes known.", [this]() { return view_.members().size(); });
-    gauge("wisteriahoist_running", "Requests at the backend server.",
+    gauge("wisteriahoist_members", "Known nodes.", [this]() { return view_.members().size(); });
+    gauge("wisteriahoist_running", "Requests running on the backend server.",
           [this]() { return gate_.admission().running(); });
-    gauge("wisteriahoist_waiting", "Requests that wait for a slot.",
+    gauge("wisteriahoist_waiting", "Requests waiting for a slot.",
           [this]() { return gate_.admission().waiting(); });
     counter("wisteriahoist_backend_refusals_total", "Connections that the backend server refused.",
             [this]() { return monitor_.refusedConnections(); });
-    gauge("wisteriahoist_demand_slots", "Slots that keyed requests asked for.",
+    gauge("wisteriahoist_demand_slots", "Slots demanded by keyed requests.",
           [this]() { return ranges_.demand(clock_.now()); });
 }
 
@@ -314,7 +321,7 @@
 void SidecarProgram::onSettings(const SidecarSettings &settings)
 {
     logEvent(LogEvent::SettingsReloaded, {{"changed", differs(settings)}});
-    known_ = settings;
+    lastRead_ = settings;
     settings_.shutdownTimeout = settings.shutdownTimeout;
     router_.setRetryLimits(settings.retries);
 }
@@ -326,24 +333,24 @@
     }
     logEvent(LogEvent::NodeStopping);
     stopping_ = true;
-    stopBegun_ = clock_.now();
-    callers_->closeAfterResponses();
-    gate_.setShutdownDeadline(stopBegun_ + settings_.shutdownTimeout - EndMargin);
+    stopStartedAt_ = clock_.now();
+    callerServer_->closeAfterResponses();
+    gate_.setShutdownDeadline(stopStartedAt_ + settings_.shutdownTimeout - ShutdownMargin);
     ranges_.beginStop();
 }
 
 void SidecarProgram::continueStop(TimePoint now)
 {
-    const Duration since = now - stopBegun_;
-    if (since >= GateClose && !closing_) {
+    const Duration since = now - stopStartedAt_;
+    if (since >= GateCloseDelay && !closing_) {
         closing_ = true;
         publisher_.wake();
         if (view_.readyMembers(monitor_.service()).size() > 1) {
             gate_.rejectKeyless();
         }
     }
-    if (since >= ReadinessGap) {
-        callers_->closeIdle();
+    if (since >= CallerRemovalDelay) {
+        callerServer_->closeIdle();
     }
 }
 
@@ -352,12 +359,12 @@
     if (!stopping_) {
         return false;
     }
-    // Not by open requests alone: the end of the process cuts connections on which a request has
-    // arrived that nobody has looked at, and answers that their callers have not read yet. Keys
-    // that nobody has taken over would wait for this node's lease to run out.
-    const bool isDone = callers_->hasEnded() && router_.openRequests() == 0
+    // Open requests alone do not suffice: ending the process also aborts connections with an
+    // unparsed request and responses that their callers have not read yet. Keys that no other node
+    // has taken over would be unavailable until this node's lease expires.
+    const bool isDone = callerServer_->hasEnded() && router_.openRequests() == 0
                         && gate_.openRequests() == 0 && !ranges_.hasTransferableKeys(now);
-    return isDone || now - stopBegun_ >= settings_.shutdownTimeout - EndMargin;
+    return isDone || now - stopStartedAt_ >= settings_.shutdownTimeout - ShutdownMargin;
 }
 
 namespace {
@@ -369,7 +376,7 @@
     program.beginStop();
     while (!program.hasStopped(program.clock().now())) {
         program.continueStop(program.clock().now());
-        co_await sleepFor(StopPoll);
+        co_await sleepFor(StopPollInterval);
     }
     context.stop();
 }
@@ -387,12 +394,12 @@
     }
 }
 
-/** The file may also change without a signal. */
-asio::awaitable<void> reloadNowAndThen(SidecarProgram &program,
-                                       std::function<std::optional<SidecarSettings>()> reload)
+/** Polls the settings file, since it may change without a signal. */
+asio::awaitable<void> reloadPeriodically(SidecarProgram &program,
+                                         std::function<std::optional<SidecarSettings>()> reload)
 {
     while (true) {
-        co_await sleepFor(SettingsPoll);
+        co_await sleepFor(SettingsPollInterval);
         const std::optional<SidecarSettings> settings = reload();
         if (settings && program.differs(*settings)) {
             program.onSettings(*settings);
@@ -409,14 +416,14 @@
     const auto stop = [&]() { return stopOnSignal(context, program); };
     const auto hup = [&]() { return reloadOnSignal(context, program, reload); };
     asio::co_spawn(context, stop, asio::detached);
-    const auto poll = [&]() { return reloadNowAndThen(program, reload); };
+    const auto poll = [&]() { return reloadPeriodically(program, reload); };
     asio::co_spawn(context, hup, asio::detached);
     asio::co_spawn(context, poll, asio::detached);
     try {
         context.run();
     } catch (const std::exception &error) {
-        // A loop that has ended would leave a node that answers and does nothing. The process ends
-        // instead and starts anew, with the cause in its log.
+        // With a coroutine ended by the exception, the node would respond but do nothing. The
+        // process exits instead so that it is restarted, with the cause in its log.
         logEvent(LogEvent::NodeFailed, {{"cause", std::string(error.what())}});
         return 1;
     }
--- a/src/program/sidecar_program.h
+++ b/src/program/sidecar_program.h
@@ -1,4 +1,4 @@
-/** @file sidecar_program.h One node beside a backend server on the users' platform. */
+/** @file sidecar_program.h A node beside a backend server on the users' platform. */
 
 #pragma once
 
@@ -21,18 +21,18 @@
 
 namespace wisteriahoist {
 
-/** A report of a backend server, as its call was decoded. */
+/** A decoded heartbeat or deregistration of a backend server. */
 struct BackendCall {
     BackendReport report;
-    bool deregisters = false; ///< Only the life of the report is set.
+    bool isDeregistration = false; ///< Only the backend field of the report is set.
 };
 
-/** What the program needs from the platform's adapter. */
+/** What the platform's adapters provide. */
 struct SidecarPorts {
     RecordStore &store;
     BackendControl &backend;
     const RequestProtocol &protocol;
-    std::string configName; ///< Record that holds the configuration.
+    std::string configName; ///< Name of the configuration record.
     ConfigDecoder decodeConfig;
     std::function<Result<BackendCall>(const HttpRequest &)> decodeReport;
     std::function<HttpResponse(const std::optional<GrantReply> &)> makeReportAck;
@@ -41,7 +41,7 @@
 
 /**
  * All duties of one node on one thread. A node has a fifth of a core, each wake-up of another
- * thread is paid for, and no duty waits for anything but sockets and timers.
+ * thread costs CPU time, and no duty blocks on anything but sockets and timers.
  */
 class SidecarProgram
 {
@@ -52,28 +52,29 @@
     /** @throws boost::system::system_error if an address cannot be bound. */
     void start();
 
-    /** Takes over settings that may change while the process runs. */
+    /** Applies those settings that may change while the process runs. */
     void onSettings(const SidecarSettings &settings);
 
-    /** @return Whether @p settings differ from those that were read last. */
-    bool differs(const SidecarSettings &settings) const { return !(settings == known_); }
+    /** @return Whether @p settings differ from the last ones read. */
+    bool differs(const SidecarSettings &settings) const { return !(settings == lastRead_); }
 
     /**
-     * Begins a stop, which goes through these steps in this order:
-     * 1. At once: the platform is told "not ready", each answer announces the end of its
-     *    connection, keys are given away.
-     * 2. When other nodes have had time to follow: they are told to send nothing here any more.
-     * 3. When the platform sends no more callers: listening ends. Connections on which nothing has
-     *    arrived are closed; every request that has begun to arrive is answered or refused.
-     * 4. When the last connection and the last request of another node have ended: the process
-     * does.
+     * Begins a graceful shutdown, in this order:
+     * 1. Immediately: readiness reports "not ready" to the platform, each response announces the
+     *    end of its connection, and keys are handed over.
+     * 2. After other nodes have had time to react: they are notified to send no more requests here.
+     * 3. After the platform has stopped sending callers: listening ends. Connections on which
+     *    nothing has arrived are closed; every request of which a part has arrived is answered or
+     *    rejected.
+     * 4. After the last connection and the last request of another node have ended: the process
+     *    ends.
      *
-     * The time to end bounds all of them: no request is handed over that may outlive it, and what
-     * is still open shortly before it is cut.
+     * The shutdown timeout bounds all steps: no request is sent to the backend server that
+     * may outlast it, and whatever is still open shortly before it is aborted.
      */
     void beginStop();
 
-    /** Takes the steps of the stop that are due. */
+    /** Performs the shutdown steps that are due. */
     void continueStop(TimePoint now);
 
     /** @return Whether the process may end at @p now. */
@@ -96,7 +97,7 @@
     asio::io_context &context_;
     BootClockAdapter clock_;
     SidecarSettings settings_;
-    SidecarSettings known_; ///< As read last; addresses take effect at the next start only.
+    SidecarSettings lastRead_; ///< Last ones read; new addresses apply only after a restart.
     SidecarPorts ports_;
     NodeId node_;
     FleetView view_;
@@ -106,7 +107,7 @@
     RelayedStore relay_;
     SharedWatch store_;
     AsioWakeTimerFactory timers_;
-    MtRandomSource random_; ///< Of the duty of the keys.
+    MtRandomSource random_; ///< Used by ranges_.
     RangeController ranges_;
     BackendGate gate_;
     RequestRouter router_;
@@ -114,18 +115,22 @@
     MemberPublisher publisher_;
     BackendHealthChecker healthChecker_;
     MetricRegistry metrics_;
-    std::shared_ptr<HttpServer> callers_;
-    std::shared_ptr<HttpServer> reports_;
-    std::shared_ptr<HttpServer> readiness_;
-    std::shared_ptr<HttpServer> metricsPage_;
-    /// A foreign writer may repeat itself for ever.
-    RateLimitedEvent reportLines_{LogEvent::ReportRefused, 1, 10};
+    std::shared_ptr<HttpServer> callerServer_;
+    std::shared_ptr<HttpServer> reportServer_;
+    std::shared_ptr<HttpServer> readinessServer_;
+    std::shared_ptr<HttpServer> metricsServer_;
+    /// Rate-limited, since a client that sends invalid reports may repeat them indefinitely.
+    RateLimitedEvent reportLog_{LogEvent::ReportRefused, 1, 10};
     bool stopping_ = false;
-    bool closing_ = false; ///< The last part of the stop: other nodes send nothing here any more.
-    TimePoint stopBegun_ = NeverTime;
+    bool closing_ = false; ///< Last phase of the shutdown: other nodes send no more requests here.
+    TimePoint stopStartedAt_ = NeverTime;
 };
 
-/** Runs a node until it is told to end. @param reload Reads the settings again, if they changed. */
+/**
+ * Runs a node until SIGTERM or SIGINT.
+ * @param reload Reads the settings again; nothing if they are invalid.
+ * @return The exit code: 0 success, 1 failed.
+ */
 int runSidecar(asio::io_context &context, SidecarProgram &program,
                std::function<std::optional<SidecarSettings>()> reload);
 
--- a/src/program/sidecar_settings.h
+++ b/src/program/sidecar_settings.h
@@ -1,5 +1,4 @@
-/** @file sidecar_settings.h What a node that runs beside a backend server has to know at its start.
- */
+/** @file sidecar_settings.h Settings of a node that runs beside a backend server. */
 
 #pragma once
 
@@ -19,25 +18,28 @@
     bool operator==(const Endpoint &) const = default;
 };
 
-/** All settings; the adapter that reads them has checked each one. */
+/** All settings, already validated by the adapter that reads them. */
 struct SidecarSettings {
     std::string name; ///< Unique in the fleet.
     std::string failureDomain;
-    std::string service; ///< Of the backend server beside this node.
-    Endpoint backend;    ///< Only processes on the same VM reach it.
-    Endpoint callers;    ///< HTTP/1.1 from callers and from the backend server.
+    std::string service; ///< Service of the backend server beside this node.
+    Endpoint backend;    ///< Reachable only from the same VM.
+    Endpoint callers;    ///< HTTP/1.1 from callers and the backend server.
     Endpoint peers;      ///< HTTP/2 from other nodes.
-    /** Where other nodes reach `peers` if not there: behind a proxy or translated addresses. */
+    /**
+     * Address at which other nodes reach `peers`, if different: behind a proxy or address
+     * translation.
+     */
     std::optional<Endpoint> announcedPeers;
-    Endpoint readiness; ///< Asked by the platform.
-    Endpoint reports;   ///< Heartbeats of the backend server.
+    Endpoint readiness; ///< Polled by the platform.
+    Endpoint reports;   ///< Receives heartbeats of the backend server.
     Endpoint metrics;
     Endpoint store;
-    milliseconds heartbeat{1000}; ///< About so often the backend server reports.
-    milliseconds maxHoldTime{0};  ///< The longest grant that it takes; 0: keys are not granted.
-    milliseconds shutdownTimeout{6000}; ///< From the request to end until the process is killed.
+    milliseconds heartbeat{1000}; ///< Approximate heartbeat interval of the backend server.
+    milliseconds maxHoldTime{0};  ///< Longest hold time that it accepts; 0: no keys are granted.
+    milliseconds shutdownTimeout{6000}; ///< From SIGTERM until the process is killed.
     FleetRetryLimits retries;
-    double cpuShare = 0; ///< Of a core, that this process may use; 0: not known.
+    double cpuShare = 0; ///< Share of a core available to this process; 0: unknown.
     bool operator==(const SidecarSettings &) const = default;
 };
 
--- a/src/program/trace_log.cpp
+++ b/src/program/trace_log.cpp
@@ -1,4 +1,4 @@
-/** @file trace_log.cpp Joins the log lines of several processes into the story of one request. */
+/** @file trace_log.cpp Merges the log lines of one request from several processes. */
 
 #include "program/trace_log.h"
 
@@ -13,15 +13,19 @@
 
 using std::chrono::microseconds;
 
-constexpr milliseconds StoryMargin{2000}; ///< A lost node's keys are away for 3.5 s at most.
+/**
+ * State changes this long before the first and after the last line of the request are included.
+ * Keys of a failed node are unavailable for at most 3.5 s.
+ */
+constexpr milliseconds TraceMargin{2000};
 
 struct ParsedLine {
-    microseconds time{0}; ///< Of the day.
-    std::string request;  ///< Empty: a change of what the process believes.
+    microseconds time{0}; ///< Time of day.
+    std::string request;  ///< Empty for a state change of the process.
     std::string text;
 };
 
-/** @return The time of the day of 2026-01-07T22:34:59.053926Z; nullopt if it has another form. */
+/** @return The time of day of 2026-01-07T22:34:59.053926Z; nothing if the form differs. */
 std::optional<microseconds> parseTimeOfDay(std::string_view text)
 {
     constexpr size_t TimeAt = 11;
@@ -49,15 +53,15 @@
     }
     const boost::json::object &object = value.as_object();
     const boost::json::value *time = object.if_contains("time");
-    const auto moment
+    const auto timeOfDay
             = time != nullptr && time->is_string()
                       ? parseTimeOfDay({time->as_string().data(), time->as_string().size()})
                       : std::nullopt;
-    if (!moment) {
+    if (!timeOfDay) {
         return std::nullopt;
     }
     ParsedLine parsed;
-    parsed.time = *moment;
+    parsed.time = *timeOfDay;
     parsed.text = name + " " + line;
     if (const boost::json::value *request = object.if_contains("request")) {
         parsed.request = request->is_string() ? std::string(request->as_string()) : "";
@@ -65,7 +69,9 @@
     return parsed;
 }
 
-/** A nested call's id begins with its parent's where backend servers name them so. */
+/**
+ * Where backend servers follow the convention, the id of a nested call begins with its parent's id.
+ */
 bool belongsTo(const ParsedLine &line, const std::string &request)
 {
     return line.request == request || line.request.starts_with(request + ".");
@@ -93,7 +99,7 @@
         }
     }
     if (!first) {
-        return Failure{FailureCode::NotFound, "no line of request " + request};
+        return Failure{FailureCode::NotFound, "no log line of request " + request};
     }
     std::erase_if(lines, [&](const ParsedLine &line) {
         const bool near = line.time >= *first - margin && line.time <= *last + margin;
@@ -102,11 +108,11 @@
     std::stable_sort(
             lines.begin(), lines.end(),
             [](const ParsedLine &left, const ParsedLine &right) { return left.time < right.time; });
-    std::vector<std::string> story;
+    std::vector<std::string> merged;
     for (ParsedLine &line : lines) {
-        story.push_back(std::move(line.text));
+        merged.push_back(std::move(line.text));
     }
-    return story;
+    return merged;
 }
 
 int runTraceLog(const std::string &request, const std::vector<std::string> &files)
@@ -115,7 +121,7 @@
     for (const std::string &file : files) {
         std::ifstream input(file);
         if (!input) {
-            std::cerr << file << ":0: cannot be read\n";
+            std::cerr << file << ":0: cannot read file\n";
             return 2;
         }
         LogSource source{file, {}};
@@ -124,13 +130,13 @@
         }
         sources.push_back(std::move(source));
     }
-    const auto story = traceRequest(sources, request, StoryMargin);
-    if (!story) {
-        std::cerr << failureName(story.assume_error().code) << ": " << story.assume_error().context
-                  << '\n';
+    const auto merged = traceRequest(sources, request, TraceMargin);
+    if (!merged) {
+        std::cerr << failureName(merged.assume_error().code) << ": "
+                  << merged.assume_error().context << '\n';
         return 1;
     }
-    for (const std::string &line : story.assume_value()) {
+    for (const std::string &line : merged.assume_value()) {
         std::cout << line << '\n';
     }
     return 0;
--- a/src/program/trace_log.h
+++ b/src/program/trace_log.h
@@ -1,4 +1,4 @@
-/** @file trace_log.h Joins the log lines of several processes into the story of one request. */
+/** @file trace_log.h Merges the log lines of one request from several processes. */
 
 #pragma once
 
@@ -10,23 +10,23 @@
 
 namespace wisteriahoist {
 
-/** One process's log. */
+/** The log of one process. */
 struct LogSource {
-    std::string name;               ///< Shown in front of its lines.
-    std::vector<std::string> lines; ///< JSON, as the processes write them; other lines are skipped.
+    std::string name;               ///< Prefix of its lines in the output.
+    std::vector<std::string> lines; ///< JSON lines; other lines are skipped.
 };
 
 /**
  * @param request The caller's attempt id.
- * @param margin How long before the first and after the last line of the request changes of what
- *        the processes believed are shown too: they are what decided it.
- * @return Lines of the request and of its nested calls, and those changes, in order of time, each
- *         as SOURCE LINE; NotFound if no source has a line of the request.
+ * @param margin State changes logged up to this long before the first and after the last line of
+ * the request are included, since they determine its routing.
+ * @return Lines of the request, of its nested calls and of those changes, ordered by time, each as
+ * SOURCE LINE; NotFound if no source has a line of the request.
  */
 Result<std::vector<std::string>> traceRequest(const std::vector<LogSource> &sources,
                                               const std::string &request, milliseconds margin);
 
-/** The command: prints the story of @p request in @p files. @return The exit code. */
+/** The trace-log command: prints the lines of @p request in @p files. @return The exit code. */
 int runTraceLog(const std::string &request, const std::vector<std::string> &files);
 
 } // namespace wisteriahoist
--- a/test/unit/auth/fleet_authenticator_test.cpp
+++ b/test/unit/auth/fleet_authenticator_test.cpp
@@ -1,4 +1,4 @@
-/** @file fleet_authenticator_test.cpp Strangers, withdrawn keys and replays are refused. */
+/** @file fleet_authenticator_test.cpp Unknown and withdrawn keys, and replays, are rejected. */
 
 #include "adapter/auth/fleet_authenticator.h"
 
@@ -26,18 +26,18 @@
     return !result && result.assume_error().context == reason;
 }
 
-/** Runs a whole hello. @return Whether both sides took each other for nodes of the fleet. */
-bool introduce(const FleetKeys &callerKeys, HelloListener &listener)
+/** Runs a complete handshake. @return Whether both sides accepted each other. */
+bool handshake(const FleetKeys &callerKeys, HelloListener &listener)
 {
     HelloCaller caller(callerKeys);
     const Result<std::string> proof = caller.onHelloReply(listener.onHello(caller.makeHello()));
     return proof && HelloCaller::onProofReply(listener.onProof(proof.assume_value()))
-           && listener.isProved();
+           && listener.isAuthenticated();
 }
 
 } // namespace
 
-Test(auth_call, accepted_and_refused)
+Test(auth_call, accepted_and_rejected)
 {
     const FleetKeys keys{{makeKey("k1", 'a')}};
     CallVerifier verifier(keys, ReplayBounds());
@@ -46,14 +46,14 @@
     {
         cr_assert(verifier.verify(makeCall("body"), signature, Now));
     }
-    SECTION("any change on its way is refused")
+    SECTION("a call modified in transit is rejected")
     {
         SignedCall other = makeCall("body");
         other.audience = "10.0.0.2:7000";
         cr_assert(isRefused(verifier.verify(other, signature, Now), "wrong-signature"));
         cr_assert(isRefused(verifier.verify(makeCall("Body"), signature, Now), "wrong-signature"));
     }
-    SECTION("no signature, half a signature, and a time that is no time are refused")
+    SECTION("missing and incomplete signatures and invalid times are rejected")
     {
         cr_assert(isRefused(verifier.verify(makeCall("body"), "", Now), "missing"));
         cr_assert(isRefused(verifier.verify(makeCall("body"), "v1 k1 5", Now), "malformed"));
@@ -63,9 +63,9 @@
     }
 }
 
-// Someone records an apply on its way and sends it again, at once or a minute later. Taken for the
-// operator's, it would put older rules in force again. The first copy is known by its nonce, the
-// later one by its time; both are refused and counted.
+// Guards against replayed calls. An attacker records an apply and sends it again, either
+// immediately or a minute later; if it were accepted, outdated rules would become effective again.
+// An early copy is detected by its nonce, a late one by its time. Both are rejected and counted.
 Test(auth_call, replayed)
 {
     const FleetKeys keys{{makeKey("k1", 'a')}};
@@ -82,9 +82,9 @@
     cr_assert(verifier.counters().countOf(AuthRefusal::Skewed) == 2);
 }
 
-// The fleet goes from k1 to k2: first every node lists both, then k2 comes first, then k1 goes. No
-// call is refused on the way; afterwards one signed with k1 is, and so is a stranger's key that
-// goes by the name of k2.
+// Key rotation from k1 to k2: first every node lists both, then k2 comes first, then k1 is removed.
+// No call is rejected meanwhile. Afterwards calls signed with k1, or with another secret under the
+// id k2, are rejected.
 Test(auth_call, rotation)
 {
     const FleetKeys before{{makeKey("k1", 'a')}};
@@ -115,30 +115,30 @@
     cr_assert(guard.rememberedCount() == 1);
 }
 
-// A stranger's process, and a node with a key that was withdrawn, connect to a node; another one
-// plays back a hello that it has recorded. Taken for members, they could ask for leases. Each
-// connection has its own challenge, so none of them gets past the hello.
-Test(auth_hello, strangers_old_keys_and_replays)
+// Guards against processes outside the fleet, nodes with a withdrawn key, and replayed handshakes:
+// accepted as members, they could request leases. Each connection has its own challenge, so none of
+// them completes the handshake.
+Test(auth_hello, unknown_keys_withdrawn_keys_and_replays)
 {
     const FleetKeys keys{{makeKey("k2", 'b'), makeKey("k3", 'c')}};
     AuthCounters counters;
     HelloListener listener(keys, counters);
-    SECTION("a node of the fleet is accepted, with any of the keys")
+    SECTION("a node of the fleet is accepted with any of the keys")
     {
-        cr_assert(introduce(keys, listener));
+        cr_assert(handshake(keys, listener));
         HelloListener another(keys, counters);
-        cr_assert(introduce({{makeKey("k3", 'c')}}, another));
+        cr_assert(handshake({{makeKey("k3", 'c')}}, another));
     }
-    SECTION("an old key and a wrong secret are refused on both sides")
+    SECTION("a withdrawn key and a wrong secret are rejected on both sides")
     {
         HelloListener fresh(keys, counters);
-        cr_assert(!introduce({{makeKey("k1", 'a')}}, fresh));
+        cr_assert(!handshake({{makeKey("k1", 'a')}}, fresh));
         cr_assert(counters.countOf(AuthRefusal::UnknownKey) == 1);
         HelloCaller caller({{makeKey("k2", 'x')}});
         const auto proof = caller.onHelloReply(fresh.onHello(caller.makeHello()));
         cr_assert(proof.assume_error().code == FailureCode::Unauthorized);
     }
-    SECTION("a recorded hello and proof are refused on another connection")
+    SECTION("a recorded handshake is rejected on another connection")
     {
         HelloListener first(keys, counters);
         HelloCaller caller(keys);
@@ -148,12 +148,12 @@
         HelloListener second(keys, counters);
         (void)second.onHello(hello);
         (void)second.onProof(proof.assume_value());
-        cr_assert(!second.isProved());
+        cr_assert(!second.isAuthenticated());
         cr_assert(counters.countOf(AuthRefusal::WrongSignature) == 1);
-        SECTION("and so is the proof alone, or a second time")
+        SECTION("the proof alone, or a second time, is rejected")
         {
             (void)second.onProof(proof.assume_value());
-            cr_assert(!second.isProved());
+            cr_assert(!second.isAuthenticated());
         }
     }
 }
--- a/test/unit/auth/peer_guard_test.cpp
+++ b/test/unit/auth/peer_guard_test.cpp
@@ -1,4 +1,4 @@
-/** @file peer_guard_test.cpp The hello over real connections between two nodes. */
+/** @file peer_guard_test.cpp The handshake over real connections between two nodes. */
 
 #include "adapter/http2/peer_transport.h"
 #include "support/test_section.h"
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr milliseconds Patience{20000}; ///< Only a hang takes it.
+constexpr milliseconds CallTimeout{20000}; ///< Reached only if the call hangs.
 
 FleetKey makeKey(const std::string &id, char letter)
 {
@@ -22,7 +22,9 @@
     co_return path + " " + body;
 }
 
-/** One call from a node with @p callerKeys to a listener that requires @p listenerKeys. */
+/**
+ * Result of one call from a node with @p callerKeys to a listener that requires @p listenerKeys.
+ */
 struct Exchange {
     Result<std::string> answer = Failure{FailureCode::Unavailable, "not sent"};
     uint64_t missing = 0;
@@ -43,7 +45,7 @@
             context,
             [&]() -> asio::awaitable<void> {
                 PeerEndpoint peer{"127.0.0.1", listener->port()};
-                exchange.answer = co_await caller.call(peer, "/hop", "body", Patience);
+                exchange.answer = co_await caller.call(peer, "/hop", "body", CallTimeout);
                 caller.closeAll();
                 listener->stop();
             },
@@ -57,32 +59,32 @@
 
 } // namespace
 
-// Two nodes of a fleet call each other; then a process without a key, one with a key that was
-// withdrawn, and a listener that does not hold the caller's key. No call reaches a handler across a
-// failed hello, and the caller is told that its own request was not sent.
+// Covers calls between two nodes of a fleet, from a process without a key, from one with a
+// withdrawn key, and to a listener that does not hold the caller's key. No call reaches a handler
+// after a failed handshake, and the caller learns that its request was not sent.
 Test(auth_peer, connections)
 {
     const FleetKeys keys{{makeKey("k2", 'b')}};
-    SECTION("between nodes of the fleet calls pass")
+    SECTION("calls between nodes of the fleet are handled")
     {
         const Exchange exchange = callBetween(keys, keys);
         cr_assert(exchange.answer.assume_value() == "/hop body");
         cr_assert(exchange.helloFailures == 0);
     }
-    SECTION("a stranger's call is not handled")
+    SECTION("a call from a process without a key is not handled")
     {
         const Exchange exchange = callBetween({}, keys);
         cr_assert(exchange.answer.assume_value().empty());
         cr_assert(exchange.missing == 1);
     }
-    SECTION("neither is one with an old key")
+    SECTION("a call with a withdrawn key is not handled")
     {
         const Exchange exchange = callBetween({{makeKey("k1", 'a')}}, keys);
         cr_assert(exchange.answer.assume_error().code == FailureCode::Unavailable);
         cr_assert(exchange.unknown == 1);
         cr_assert(exchange.helloFailures == 1);
     }
-    SECTION("a listener with another secret is not trusted")
+    SECTION("a listener with another secret is rejected")
     {
         const Exchange exchange = callBetween({{makeKey("k2", 'x')}}, keys);
         cr_assert(exchange.answer.assume_error().code == FailureCode::Unavailable);
--- a/test/unit/platform/backend_calls_test.cpp
+++ b/test/unit/platform/backend_calls_test.cpp
@@ -1,4 +1,4 @@
-/** @file backend_calls_test.cpp Orders to a backend server whose answers and connections fail. */
+/** @file backend_calls_test.cpp Grant and release calls with faulty responses and connections. */
 
 #include "adapter/clock/boot_clock_adapter.h"
 #include "platform/backend_calls.h"
@@ -13,7 +13,7 @@
 
 const KeySpan Keys{ShardKey(0), ShardKey(99)};
 constexpr milliseconds Timeout{1000};
-constexpr milliseconds WorkTime{200}; ///< Until the work on released keys has ended.
+constexpr milliseconds WorkTime{200}; ///< Until requests on the released keys have ended.
 
 struct Fixture {
     explicit Fixture(std::vector<BackendScript> scripts)
@@ -50,8 +50,9 @@
 
 } // namespace
 
-// Guards against keys given on while at work: a grant's second answer read as a release's.
-Test(backend_calls, a_second_answer_to_a_grant_is_not_taken_for_a_releases)
+// Guards against handing over keys that are still in use: a duplicate response to a grant must not
+// be read as the response to the following release.
+Test(backend_calls, duplicate_grant_response_is_not_read_as_release_response)
 {
     BackendScript released = answerWith("X-Wisteriahoist-Handover: token\r\n", WorkTime);
     released.stray = makeAnswer("");
@@ -61,14 +62,15 @@
     cr_assert(answer.result == ControlResult::Accepted && answer.handover == "token");
 }
 
-// Guards against a hold that outlasts what its node has noted: a grant sent after a standstill.
-Test(backend_calls, a_grant_that_is_late_is_not_sent)
+// Guards against a hold that outlasts what the node has recorded: a grant must not be sent after
+// its latest send time, as after a suspension of the process.
+Test(backend_calls, late_grant_is_not_sent)
 {
     Fixture fixture({answerWith("")});
     cr_assert(fixture.grant(fixture.clock.now() - milliseconds(1)).result
               == ControlResult::TooLate);
     cr_assert(fixture.backend->requests().empty());
-    SECTION("the next one is")
+    SECTION("the next grant is sent")
     {
         cr_assert(fixture.grant(fixture.clock.now() + Timeout).result == ControlResult::Accepted);
     }
--- a/test/unit/platform/decoding_test.cpp
+++ b/test/unit/platform/decoding_test.cpp
@@ -1,5 +1,4 @@
-/** @file decoding_test.cpp The platform's settings, configuration, reports and headers, decoded
- * once. */
+/** @file decoding_test.cpp Decoding of settings, configuration, heartbeats and headers. */
 
 #include "platform/backend_calls.h"
 #include "platform/request_headers.h"
@@ -58,7 +57,7 @@
 
 } // namespace
 
-Test(platform_settings, decoded_and_checked_whole)
+Test(platform_settings, decodes_and_validates)
 {
     std::vector<Finding> findings;
     const SidecarSettings settings = decodeSettings(Settings, "s.toml", findings);
@@ -69,12 +68,12 @@
     cr_assert(settings.heartbeat == milliseconds(1500));
     cr_assert(settings.maxHoldTime == milliseconds(10000));
     cr_assert(settings.retries.slack == 62);
-    SECTION("every missing or wrong entry is a finding, in one go")
+    SECTION("all missing and invalid entries are reported together")
     {
         (void)decodeSettings("node_name = 3\nheartbeat = \"1 hour\"\n", "s.toml", findings);
         cr_assert(findings.size() >= 10);
     }
-    SECTION("a syntax error is one finding with its line")
+    SECTION("a syntax error is reported as one finding with its line")
     {
         findings.clear();
         (void)decodeSettings("ip = \n", "s.toml", findings);
@@ -82,7 +81,7 @@
     }
 }
 
-Test(platform_config, decoded)
+Test(platform_config, decodes)
 {
     const auto config = decodeRouteConfig(Config);
     cr_assert(config.has_value());
@@ -94,7 +93,7 @@
     cr_assert(value.routes[1].targets.size() == 2 && value.routes[1].targets[1].weight == 10);
     cr_assert(value.services.at("one").sharded && !value.services.at("two").sharded);
     cr_assert(value.limits.bodyBytes == 1000);
-    SECTION("what cannot be read is refused whole, and says why")
+    SECTION("an invalid configuration is rejected as a whole, with the reason")
     {
         const auto broken
                 = decodeRouteConfig(R"({"version":8,"routes":[{"name":"r"}],"services":[]})");
@@ -104,7 +103,7 @@
     }
 }
 
-Test(platform_reports, decoded)
+Test(platform_reports, decodes)
 {
     const std::string beat = R"({"service":"huvo11a","slots":12,"state":"draining",)"
                              R"("cold_remaining":"2.5s","sequence":4})";
@@ -120,7 +119,7 @@
               == FailureCode::Malformed);
 }
 
-Test(platform_reports, keys_that_a_backend_server_holds)
+Test(platform_reports, decodes_held_keys)
 {
     const std::string beat
             = R"({"service":"s","slots":12,"state":"ready","sequence":4,"born":1700,)"
@@ -134,19 +133,19 @@
                                   {{{ShardKey(5001), ShardKey(6000)}, "5c0e"}},
                                   4};
     cr_assert(report.holding == expected);
-    SECTION("a service that is not divided by key says nothing of keys")
+    SECTION("heartbeats of an unsharded service have no key lists")
     {
         const std::string plain = R"({"service":"s","slots":12,"state":"ready","sequence":4})";
         const auto other = decodeReport(makeCall("/-/instances/i-7/heartbeat", plain));
         cr_assert(other && !other.assume_value().report.holding);
     }
-    SECTION("a deregistration may name the life, and need not")
+    SECTION("a deregistration may contain the start time of the incarnation")
     {
         const auto named
                 = decodeReport(makeCall("/-/instances/i-7/deregister", R"({"born":1700})"));
         cr_assert(named.assume_value().report.backend == BackendIncarnation("i-7", 1700));
     }
-    SECTION("the answer grants rows, or says nothing of keys at all")
+    SECTION("the response contains granted rows, or no key list")
     {
         const GrantReply order{{{{ShardKey(0), ShardKey(4095)}, Epoch(7), ""},
                                 {{ShardKey(9000), ShardKey(9999)}, Epoch(12), "7a21"}},
@@ -155,7 +154,7 @@
                   == R"({"holds":[[0,4095,7,""],[9000,9999,12,"7a21"]],"hold_time":"4000ms"})");
         cr_assert(makeReportAck(std::nullopt).body() == "{}");
     }
-    SECTION("the longest rows that are granted at once fit into 4 KiB")
+    SECTION("the maximum number of rows of maximum length fits into 4 KiB")
     {
         GrantReply order;
         order.hold = milliseconds(10000);
@@ -165,9 +164,10 @@
     }
 }
 
-// A heartbeat of another writer would end the life that is there: its keys would move and its
-// requests would be refused. What can't be read names no backend server, whatever is wrong with it.
-Test(platform_reports, of_a_foreign_writer)
+// Guards against reports of unrelated clients: read as a heartbeat, such a report would end the
+// registered incarnation, so that its keys move and its requests are rejected. A report with any
+// invalid field is rejected and identifies no backend server.
+Test(platform_reports, rejects_invalid_reports)
 {
     const std::vector<std::string> bodies{
             "",
@@ -195,7 +195,7 @@
     }
 }
 
-Test(platform_headers, terms)
+Test(platform_headers, request_metadata)
 {
     const RequestHeaders headers;
     HttpRequest request(http::verb::get, "/b/1", 11);
@@ -203,12 +203,12 @@
     request.set("X-Wisteriahoist-Attempt-Id", "9c41");
     request.set("X-Wisteriahoist-Deadline-Ms", "1500");
     request.set("X-Wisteriahoist-Shard-Key", "65535");
-    const auto terms = headers.readMetadata(request);
-    cr_assert(terms.has_value() && terms.assume_value().timeLeft == milliseconds(1500));
-    cr_assert(terms.assume_value().shardKey == LastShardKey);
+    const auto metadata = headers.readMetadata(request);
+    cr_assert(metadata.has_value() && metadata.assume_value().timeLeft == milliseconds(1500));
+    cr_assert(metadata.assume_value().shardKey == LastShardKey);
     request.set("X-Wisteriahoist-Shard-Key", "65536");
     cr_assert(!headers.readMetadata(request));
-    SECTION("what the caller claims about the service beside it does not count")
+    SECTION("a caller-service header sent by the caller is overwritten")
     {
         request.set("X-Wisteriahoist-Caller-Service", "forged");
         headers.setMetadata(request, {milliseconds(700), "i-7", "mine"});
@@ -218,7 +218,7 @@
     }
 }
 
-Test(platform_headers, answers)
+Test(platform_headers, response_classification)
 {
     const RequestHeaders headers;
     cr_assert(headers.classifyResponse(makeAnswer(200, "9c41", true), "9c41")
@@ -232,7 +232,7 @@
     HttpResponse shed = makeAnswer(503, "9c41", false);
     shed.set("X-Wisteriahoist-Not-Executed", "1");
     cr_assert(headers.classifyResponse(shed, "9c41") == ResponseKind::NotExecuted);
-    SECTION("Retry-After is in seconds with a fraction")
+    SECTION("Retry-After is in fractional seconds")
     {
         HttpResponse response(http::status::service_unavailable, 11);
         headers.setRetryAfter(response, milliseconds(1050));
--- a/test/unit/platform/foreign_bytes_test.cpp
+++ b/test/unit/platform/foreign_bytes_test.cpp
@@ -1,4 +1,4 @@
-/** @file foreign_bytes_test.cpp Whatever another writer sends or stores is decoded or refused. */
+/** @file foreign_bytes_test.cpp Fuzz tests of the decoders of external data. */
 
 #include "adapter/codec/record_codec.h"
 #include "platform/backend_calls.h"
@@ -15,18 +15,21 @@
 
 namespace {
 
-constexpr uint32_t Seed = 20261;  ///< Fixed, so that each run tries the same texts.
-constexpr int TextsOfEach = 4000; ///< A second of work under the sanitizers.
+constexpr uint32_t Seed = 20261;        ///< Fixed, so that each run tries the same inputs.
+constexpr int MutationsPerInput = 4000; ///< About one second under the sanitizers.
 
-/** Spoils texts: bytes, numbers, whole values of another type, cuts, doubled parts. */
-class Spoiler
+/**
+ * Mutates texts: changes bytes, replaces values by others of another type, truncates, duplicates
+ * parts.
+ */
+class Mutator
 {
 public:
-    std::string spoil(std::string text)
+    std::string mutate(std::string text)
     {
         const int times = 1 + draw(3);
         for (int time = 0; time < times && !text.empty(); ++time) {
-            spoilOnce(text);
+            mutateOnce(text);
         }
         return text;
     }
@@ -34,7 +37,7 @@
 private:
     int draw(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
 
-    void spoilOnce(std::string &text)
+    void mutateOnce(std::string &text)
     {
         const auto at = static_cast<size_t>(draw(static_cast<int>(text.size()) - 1));
         switch (draw(4)) {
@@ -53,7 +56,7 @@
         }
     }
 
-    /** Puts another value in the place of the one behind the next colon or comma. */
+    /** Replaces the value behind the next colon or comma. */
     void replaceValue(std::string &text, size_t from)
     {
         static const std::vector<std::string> values{"null",
@@ -82,14 +85,14 @@
     std::mt19937 random_{Seed};
 };
 
-/** Decodes spoiled forms of @p text. @return How many of them could be read. */
+/** Decodes mutated forms of @p text. @return How many were accepted. */
 template <typename Decode>
-int tryAll(const std::string &text, Decode decode)
+int decodeMutations(const std::string &text, Decode decode)
 {
-    Spoiler spoiler;
+    Mutator mutator;
     int read = 0;
-    for (int number = 0; number < TextsOfEach; ++number) {
-        read += decode(spoiler.spoil(text)) ? 1 : 0;
+    for (int number = 0; number < MutationsPerInput; ++number) {
+        read += decode(mutator.mutate(text)) ? 1 : 0;
     }
     return read;
 }
@@ -106,16 +109,17 @@
 
 } // namespace
 
-// Callers of every key would be refused: one entry of another writer, read wrongly, ends the life
-// that is there or makes the table of all ranges unusable. Each text is read whole or refused, and
-// what is read keeps the invariants of its type.
+// Guards against misreading data of other writers: one such entry could end the registered
+// incarnation of the backend server or make the range table unusable, so that requests for all keys
+// are rejected. Every input is either rejected or decoded completely, and decoded values satisfy
+// the invariants of their type.
 Test(foreign_bytes, heartbeats)
 {
     const std::string beat
             = R"({"service":"s","slots":12,"state":"ready","sequence":4,"born":1700,)"
               R"("cold_remaining":"0ms","holds":[[0,4095,7]],)"
               R"("released":[[5001,6000,"5c0e"]]})";
-    const int read = tryAll(beat, [](const std::string &text) {
+    const int read = decodeMutations(beat, [](const std::string &text) {
         HttpRequest request(http::verb::post, "/-/instances/i-7/heartbeat", 11);
         request.body() = text;
         const auto call = decodeReport(request);
@@ -131,15 +135,15 @@
         }
         return report.state == BackendState::Ready || report.state == BackendState::Draining;
     });
-    cr_assert(read > 0 && read < TextsOfEach);
+    cr_assert(read > 0 && read < MutationsPerInput);
 }
 
-Test(foreign_bytes, records_of_the_store)
+Test(foreign_bytes, store_records)
 {
     const RangeHolder holder{NodeId(1), Incarnation(2), {"b-1", 1700}};
     RangeRecord ranges;
     ranges.table = makeRangeTable({{holder, 1}, {{NodeId(2), Incarnation(1), "b-2"}, 1}});
-    (void)tryAll(encodeRangeRecord(ranges), [](const std::string &text) {
+    (void)decodeMutations(encodeRangeRecord(ranges), [](const std::string &text) {
         const auto record = decodeRangeRecord(text);
         cr_assert(!record || record.assume_value().isBlock()
                   || isTable(record.assume_value().table));
@@ -149,7 +153,7 @@
     member.node = NodeId(1);
     member.peerPort = 8624;
     member.backend = {"b-1", 1700};
-    (void)tryAll(encodeMember(member), [](const std::string &text) {
+    (void)decodeMutations(encodeMember(member), [](const std::string &text) {
         const auto record = decodeMember(text);
         cr_assert(!record || record.assume_value().node != InvalidNode);
         return record.has_value();
@@ -157,8 +161,8 @@
     LeaseRecord lease;
     lease.node = NodeId(1);
     lease.witnesses = {NodeId(2), NodeId(3)};
-    (void)tryAll(encodeLease(lease),
-                 [](const std::string &text) { return decodeLease(text).has_value(); });
+    (void)decodeMutations(encodeLease(lease),
+                          [](const std::string &text) { return decodeLease(text).has_value(); });
 }
 
 Test(foreign_bytes, configurations_and_settings)
@@ -168,7 +172,7 @@
               R"("kind":"idempotent","timeout":"1500ms","target_latency":"800ms","priority":1,)"
               R"("service":"s","max_attempts":2}],"services":[{"name":"s","sharded":true,)"
               R"("grants":"heartbeat"}],"limits":{"max_header_bytes":1000,"idle_timeout":"9s"}})";
-    (void)tryAll(config, [](const std::string &text) {
+    (void)decodeMutations(config, [](const std::string &text) {
         const auto decoded = decodeRouteConfig(text);
         cr_assert(!decoded || decoded.assume_value().routes.empty()
                   || !decoded.assume_value().routes.front().targets.empty());
@@ -178,14 +182,14 @@
             = "node_name = \"n\"\nzone = \"z\"\nservice = \"s\"\nip = \"10.0.0.1\"\n"
               "app_addr = \"10.0.0.1:80\"\nheartbeat = \"870ms\"\n"
               "bounds = [\"grace=6s\"]\n[platform]\naddress = \"10.0.0.2:81\"\n";
-    (void)tryAll(settings, [](const std::string &text) {
+    (void)decodeMutations(settings, [](const std::string &text) {
         std::vector<Finding> findings;
         (void)decodeSettings(text, "local.toml", findings);
         return findings.empty();
     });
 }
 
-Test(foreign_bytes, times_that_are_none)
+Test(foreign_bytes, invalid_durations)
 {
     for (const std::string text : {"nans", "infms", "1e300s", "-1ms", "5", "ms", "5 ms"}) {
         cr_assert(!parseTime(text), "%s", text.c_str());
@@ -200,7 +204,7 @@
     hop.set_attempt_id("q");
     hop.set_deadline_left_ms(500);
     hop.set_body("body");
-    (void)tryAll(hop.SerializeAsString(), [](const std::string &text) {
+    (void)decodeMutations(hop.SerializeAsString(), [](const std::string &text) {
         v1::HopRequest decoded;
         return decoded.ParseFromString(text);
     });
--- a/test/unit/platform/object_store_test.cpp
+++ b/test/unit/platform/object_store_test.cpp
@@ -1,5 +1,4 @@
-/** @file object_store_test.cpp The store's client against a store that speaks the platform's calls.
- */
+/** @file object_store_test.cpp The object store client against the in-memory store. */
 
 #include "platform/object_store.h"
 #include "platform/standin/object_store_standin.h"
@@ -18,8 +17,8 @@
     Fixture()
     {
         client.onConflict([this](RecordKind kind, const StoredRecord &record) {
-            standingKind = kind;
-            standing = record;
+            conflictKind = kind;
+            conflictRecord = record;
         });
     }
 
@@ -37,13 +36,13 @@
     asio::io_context context;
     ObjectStoreStandin store{context, 1};
     ObjectStore client{context.get_executor(), {"127.0.0.1", store.addEndpoint("127.0.0.1")}};
-    std::optional<RecordKind> standingKind;
-    StoredRecord standing;
+    std::optional<RecordKind> conflictKind;
+    StoredRecord conflictRecord;
 };
 
 } // namespace
 
-Test(object_store, reads_what_it_has_written)
+Test(object_store, reads_written_records)
 {
     Fixture fixture;
     const StoreRevision first = fixture.create("a", R"({"x":1})");
@@ -57,9 +56,9 @@
     cr_assert(missing.assume_error().code == FailureCode::NotFound);
 }
 
-// Callers of keys that move are turned down for longer than needed: a refused write waited for the
-// news by the watch. The answer that refuses it holds the record that was there first.
-Test(object_store, a_refused_write_tells_what_stands)
+// Guards against rejecting requests for moving keys longer than necessary: after a conflict the
+// client does not wait for the watch, since the conflict response contains the stored record.
+Test(object_store, write_conflict_reports_stored_record)
 {
     Fixture fixture;
     const StoreRevision first = fixture.create("a", R"({"x":1})");
@@ -67,42 +66,42 @@
             = fixture.run(fixture.client.replace(RecordKind::Ranges, "a", first, R"({"x":2})"));
     cr_assert(second.has_value() && second.assume_value() > first);
 
-    SECTION("a change of an older revision")
+    SECTION("a replace with an older revision")
     {
         const auto late
                 = fixture.run(fixture.client.replace(RecordKind::Ranges, "a", first, R"({"x":3})"));
         cr_assert(late.assume_error().code == FailureCode::VersionConflict);
-        cr_assert(fixture.standingKind == RecordKind::Ranges);
-        cr_assert(fixture.standing.revision == second.assume_value());
-        cr_assert(fixture.standing.content == R"({"x":2})");
+        cr_assert(fixture.conflictKind == RecordKind::Ranges);
+        cr_assert(fixture.conflictRecord.revision == second.assume_value());
+        cr_assert(fixture.conflictRecord.content == R"({"x":2})");
     }
-    SECTION("a creation of what exists")
+    SECTION("a create of an existing record")
     {
-        fixture.standing = {};
+        fixture.conflictRecord = {};
         const auto again
                 = fixture.run(fixture.client.create(RecordKind::Ranges, "a", R"({"x":4})"));
         cr_assert(again.assume_error().code == FailureCode::VersionConflict);
-        cr_assert(fixture.standing.content == R"({"x":2})");
+        cr_assert(fixture.conflictRecord.content == R"({"x":2})");
     }
 }
 
-Test(object_store, watches_tell_what_has_changed)
+Test(object_store, watch_returns_changes)
 {
     Fixture fixture;
     const StoreRevision first = fixture.create("a", R"({"x":1})");
-    SECTION("nothing")
+    SECTION("no change")
     {
         const auto none = fixture.run(fixture.client.watch(RecordKind::Ranges, first, Wait));
         cr_assert(none.has_value() && none.assume_value().changes.empty());
     }
-    SECTION("a change since")
+    SECTION("one change")
     {
         (void)fixture.run(fixture.client.replace(RecordKind::Ranges, "a", first, R"({"x":2})"));
         const auto one = fixture.run(fixture.client.watch(RecordKind::Ranges, first, Wait));
         cr_assert(one.has_value() && one.assume_value().changes.size() == 1);
         cr_assert(one.assume_value().changes[0].record.content == R"({"x":2})");
     }
-    SECTION("that the history is gone")
+    SECTION("the history has been compacted")
     {
         fixture.store.compact();
         const auto gone = fixture.run(fixture.client.watch(RecordKind::Ranges, first, Wait));
@@ -110,7 +109,7 @@
     }
 }
 
-Test(object_store, each_refusal_has_its_type)
+Test(object_store, failure_codes)
 {
     Fixture fixture;
     fixture.store.faults().down = true;
--- a/test/unit/program/sidecar_stop_test.cpp
+++ b/test/unit/program/sidecar_stop_test.cpp
@@ -1,4 +1,4 @@
-/** @file sidecar_stop_test.cpp The end of a node that was told to stop, as its callers see it. */
+/** @file sidecar_stop_test.cpp Graceful shutdown of a node, as its callers see it. */
 
 #include "platform/request_headers.h"
 #include "program/sidecar_program.h"
@@ -11,16 +11,17 @@
 
 namespace {
 
-constexpr milliseconds LongTime{20000};   ///< Far above what a test takes.
-constexpr milliseconds Unlisted{2500};    ///< After so long the platform sends no callers any more.
-constexpr milliseconds KilledAfter{6000}; ///< From the request to end.
+constexpr milliseconds TestTimeout{20000}; ///< Time limit of a test, far above its usual duration.
+constexpr milliseconds CallerRemovalDelay{
+        2500}; ///< After this time the platform sends no more callers.
+constexpr milliseconds ShutdownTimeout{6000}; ///< From SIGTERM until SIGKILL.
 constexpr milliseconds Poll{20};
 
 const std::string Request = "GET /x HTTP/1.1\r\nHost: h\r\n\r\n";
-constexpr std::string_view Refusal = "HTTP/1.1 503"; ///< There is no configuration.
+constexpr std::string_view Refusal = "HTTP/1.1 503"; ///< No configuration: all are rejected.
 constexpr std::string_view Close = "Connection: close";
 
-/** No backend server takes part. */
+/** A backend server is not needed. */
 class NoBackend final : public BackendControl
 {
 public:
@@ -55,18 +56,18 @@
     settings.readiness = any;
     settings.reports = any;
     settings.metrics = any;
-    settings.shutdownTimeout = KilledAfter;
+    settings.shutdownTimeout = ShutdownTimeout;
     return settings;
 }
 
-/** A node of which only the callers' side is looked at. Its times are the test's. */
+/** A node whose callers' side is tested. The tests supply the time. */
 struct StoppingNode {
     StoppingNode() { program.start(); }
 
-    /** Runs until @p holds, or for long. */
+    /** Runs until @p holds returns true, or until TestTimeout has passed. */
     bool runUntil(RawHttpClient &caller, const std::function<bool()> &holds)
     {
-        const auto end = std::chrono::steady_clock::now() + LongTime;
+        const auto end = std::chrono::steady_clock::now() + TestTimeout;
         for (caller.pollOnce(); !holds() && std::chrono::steady_clock::now() < end;
              caller.pollOnce()) {
             runFor(milliseconds(1));
@@ -103,11 +104,11 @@
 
 } // namespace
 
-// A caller loses its request, or an answer that it has not read yet, with the end of the process.
-// The node looks whether anything is open and ends at once if not: what has reached it and has not
-// been parsed is not seen, and connections are cut that its answers are still on. The process ends
-// after the last connection has.
-Test(sidecar_stop, the_process_ends_after_the_last_connection)
+// Guards against losing requests, and responses that callers have not read yet, when the process
+// ends. Checking for open requests is not enough: it misses requests that have arrived but are not
+// parsed, and connections that still carry responses. The process must end only after the last
+// connection has.
+Test(sidecar_stop, process_ends_after_last_connection)
 {
     StoppingNode node;
     RawHttpClient caller(node.settings.callers.port);
@@ -115,20 +116,20 @@
     cr_assert(node.runUntil(caller, [&]() { return caller.count(Refusal) == 1; }));
     cr_assert_eq(caller.count(Close), 0U);
     node.program.beginStop();
-    const TimePoint late = node.program.clock().now() + Unlisted;
-    SECTION("nothing is open when the time has come, but a request has just arrived")
+    const TimePoint late = node.program.clock().now() + CallerRemovalDelay;
+    SECTION("no request is open, but one has just arrived")
     {
         caller.send(Request);
         cr_assert(!node.program.hasStopped(late));
     }
-    SECTION("it is answered, and the answer announces the end")
+    SECTION("it is answered, and the response announces the end of the connection")
     {
         node.program.continueStop(late);
         cr_assert(node.runUntil(caller, [&]() { return caller.hasEnded(); }));
         cr_assert_eq(caller.count(Refusal), 2U);
         cr_assert_eq(caller.count(Close), 1U);
     }
-    SECTION("the process waits until the caller has read it and gone")
+    SECTION("the process waits until the caller has read it and disconnected")
     {
         cr_assert(!node.program.hasStopped(late));
         caller.leave();
@@ -141,7 +142,7 @@
     }
 }
 
-Test(sidecar_stop, the_process_ends_in_time_whatever_is_open)
+Test(sidecar_stop, process_ends_within_shutdown_timeout)
 {
     StoppingNode node;
     RawHttpClient caller(node.settings.callers.port);
@@ -149,11 +150,13 @@
     node.program.beginStop();
     const TimePoint begun = node.program.clock().now();
     TimePoint at = begun;
-    while (at < begun + KilledAfter && !node.program.hasStopped(at)) {
+    while (at < begun + ShutdownTimeout && !node.program.hasStopped(at)) {
         node.program.continueStop(at);
         node.runFor(milliseconds(1));
         at += Poll;
     }
-    cr_assert(at > begun + Unlisted, "the caller has begun to send");
-    cr_assert(at < begun + KilledAfter, "what is open then is cut in any case");
+    cr_assert(at > begun + CallerRemovalDelay,
+              "waits for a caller that has sent part of a request");
+    cr_assert(at < begun + ShutdownTimeout,
+              "aborts what is still open at the end of the shutdown timeout");
 }
--- a/test/unit/program/trace_log_test.cpp
+++ b/test/unit/program/trace_log_test.cpp
@@ -1,4 +1,4 @@
-/** @file trace_log_test.cpp The story of one request out of the logs of several processes. */
+/** @file trace_log_test.cpp Merging of one request's log lines from several processes. */
 
 #include "program/trace_log.h"
 #include "support/test_section.h"
@@ -23,15 +23,15 @@
 
 } // namespace
 
-Test(trace_log, lines_of_the_request_and_what_decided_it)
+Test(trace_log, lines_of_request_and_state_changes)
 {
     const std::vector<LogSource> sources{{"a", {Refused, Other, "not json"}},
                                          {"b", {LongAgo, Moved, Nested}}};
-    const auto story = traceRequest(sources, "9c41", milliseconds(2000));
-    cr_assert(story.has_value());
+    const auto merged = traceRequest(sources, "9c41", milliseconds(2000));
+    cr_assert(merged.has_value());
     const std::vector<std::string> expected{"b " + Moved, "a " + Refused, "b " + Nested};
-    cr_assert(story.assume_value() == expected);
-    SECTION("a request that nobody logged is told so")
+    cr_assert(merged.assume_value() == expected);
+    SECTION("a request without log lines is not found")
     {
         const auto none = traceRequest(sources, "88", milliseconds(2000));
         cr_assert(!none && none.assume_error().code == FailureCode::NotFound);
--- a/test/unit/settings/declaration_files_test.cpp
+++ b/test/unit/settings/declaration_files_test.cpp
@@ -1,5 +1,4 @@
-/** @file declaration_files_test.cpp Declaration files: the examples are good, the corpus is found
- * bad. */
+/** @file declaration_files_test.cpp The examples are valid; invalid files give their findings. */
 
 #include "adapter/settings/declaration_loader.h"
 #include "adapter/settings/node_settings.h"
@@ -13,7 +12,9 @@
 
 namespace {
 
-/** @return The lines after "#! ", which begin as the findings of the file have to. */
+/**
+ * @return The text of lines that begin with "#! ": prefixes of the findings expected for the file.
+ */
 std::vector<std::string> expectedFindings(const std::string &content)
 {
     std::vector<std::string> expected;
@@ -45,7 +46,7 @@
 
 } // namespace
 
-Test(config_files, corpus_of_bad_declarations)
+Test(config_files, invalid_declarations)
 {
     size_t files = 0;
     for (const auto &entry :
--- a/test/unit/settings/node_settings_test.cpp
+++ b/test/unit/settings/node_settings_test.cpp
@@ -1,4 +1,4 @@
-/** @file node_settings_test.cpp Settings are checked whole: every finding at once. */
+/** @file node_settings_test.cpp All errors in the settings are reported together. */
 
 #include "adapter/settings/node_settings.h"
 #include "support/test_section.h"
@@ -25,14 +25,14 @@
 
 Test(node_settings, findings)
 {
-    SECTION("good settings have none")
+    SECTION("valid settings have no findings")
     {
         std::vector<Finding> findings;
         const NodeSettings settings = parseNodeSettings(Good, "n.toml", findings);
         cr_assert(findings.empty());
         cr_assert(settings.id == NodeId(3));
     }
-    SECTION("a wrong, a missing and an unknown entry are reported together, with their lines")
+    SECTION("invalid, missing and unknown entries are reported together, with their lines")
     {
         std::vector<Finding> findings;
         parseNodeSettings("[node]\nid = 0\nfailure_domain = \"a\"\nip = \"127.0.0.1\"\n"
@@ -46,7 +46,7 @@
         cr_assert(formatFinding(findings[2]) == "n.toml:7: node.colour: unknown entry");
         cr_assert(formatFinding(findings[3]).starts_with("n.toml:9: platform.ip: found here"));
     }
-    SECTION("a syntax error is one finding with its line")
+    SECTION("a syntax error is reported as one finding with its line")
     {
         std::vector<Finding> findings;
         parseNodeSettings("[node]\nid = = 1\n", "n.toml", findings);
@@ -62,7 +62,7 @@
         const std::string good(Good.substr(0, Good.find("[fleet]")));
         return parseNodeSettings(good + fleet, "n.toml", findings).fleetKeys;
     };
-    SECTION("without a word about keys a node does not start")
+    SECTION("settings without the fleet table or its keys are rejected")
     {
         std::vector<Finding> findings;
         parse("", findings);
@@ -73,7 +73,7 @@
         cr_assert(findings.size() == 1);
         cr_assert(findings[0].message.starts_with("fleet.key: missing"));
     }
-    SECTION("the first key signs, all are accepted")
+    SECTION("the first key signs, all keys are accepted")
     {
         std::vector<Finding> findings;
         const FleetKeys keys
@@ -84,7 +84,7 @@
         cr_assert(keys.keys.front().id == "k2");
         cr_assert(keys.find("k1") != nullptr);
     }
-    SECTION("a bad secret is found, and not printed")
+    SECTION("an invalid secret is reported without printing it")
     {
         std::vector<Finding> findings;
         parse("[[fleet.key]]\nid = \"k 1\"\nsecret = \"abcd\"\n", findings);
--- a/test/unit/standin/backend_standin_test.cpp
+++ b/test/unit/standin/backend_standin_test.cpp
@@ -1,5 +1,4 @@
-/** @file backend_standin_test.cpp The backend stand-in honours grants, deadlines and cancellation.
- */
+/** @file backend_standin_test.cpp The backend stand-in enforces grants and deadlines. */
 
 #include "standin/backend_standin.h"
 #include "support/test_section.h"
@@ -11,14 +10,14 @@
 
 namespace {
 
-/** What is sent to the stand-in beside the key. */
-struct Sending {
+/** Header values of a request to the stand-in. */
+struct HeaderValues {
     uint64_t epoch = 5;
     std::string deadlineMs = "5000";
     std::string expiresMs = "5000";
 };
 
-asio::awaitable<void> send(asio::io_context &context, BackendStandin &backend, Sending sending,
+asio::awaitable<void> send(asio::io_context &context, BackendStandin &backend, HeaderValues sending,
                            Result<HttpResponse> &result)
 {
     HttpClient client(context.get_executor(), "127.0.0.1", backend.port());
@@ -32,8 +31,9 @@
     context.stop();
 }
 
-/** @return The status of the answer. */
-http::status ask(BackendStandin &backend, asio::io_context &context, const Sending &sending)
+/** @return The status of the response. */
+http::status sendRequest(BackendStandin &backend, asio::io_context &context,
+                         const HeaderValues &sending)
 {
     Result<HttpResponse> result = Failure{FailureCode::NotFound, "not run"};
     context.restart();
@@ -52,27 +52,27 @@
     behaviour.workTime = milliseconds(20);
     BackendStandin backend(context, "127.0.0.1", 0, behaviour);
     backend.start();
-    SECTION("a good grant runs to its end")
+    SECTION("a request with a valid grant is completed")
     {
-        cr_assert(ask(backend, context, Sending{}) == http::status::ok);
+        cr_assert(sendRequest(backend, context, HeaderValues{}) == http::status::ok);
         cr_assert(backend.runs().size() == 1 && backend.runs()[0].finished);
     }
-    SECTION("an older epoch and a lapsed grant are refused before running")
+    SECTION("an older epoch and an expired grant are rejected without execution")
     {
-        Sending older;
+        HeaderValues older;
         older.epoch = 4;
-        cr_assert(ask(backend, context, older) == http::status::service_unavailable);
-        Sending lapsed;
-        lapsed.expiresMs = "0";
-        cr_assert(ask(backend, context, lapsed) == http::status::service_unavailable);
+        cr_assert(sendRequest(backend, context, older) == http::status::service_unavailable);
+        HeaderValues expired;
+        expired.expiresMs = "0";
+        cr_assert(sendRequest(backend, context, expired) == http::status::service_unavailable);
         cr_assert(backend.runs().size() == 1);
         cr_assert(backend.fencedOff() == 2);
     }
-    SECTION("a run is cut at its deadline, and is not told as not run")
+    SECTION("execution is aborted at the deadline and not reported as not executed")
     {
-        Sending late;
+        HeaderValues late;
         late.deadlineMs = "5";
-        cr_assert(ask(backend, context, late) == http::status::gateway_timeout);
+        cr_assert(sendRequest(backend, context, late) == http::status::gateway_timeout);
         cr_assert(backend.runs().size() == 2 && !backend.runs()[1].finished);
     }
 }
--- a/test/unit/standin/request_audit_test.cpp
+++ b/test/unit/standin/request_audit_test.cpp
@@ -1,4 +1,4 @@
-/** @file request_audit_test.cpp The audit sees each kind of broken promise. */
+/** @file request_audit_test.cpp The request audit detects each kind of violation. */
 
 #include "standin/request_audit.h"
 #include "support/test_section.h"
@@ -7,57 +7,63 @@
 
 namespace {
 
-CallerRecord told(const char *requestId, ToldOutcome outcome, bool ownBytes = true)
+CallerRecord reported(const char *requestId, ToldOutcome outcome, bool ownBytes = true)
 {
     return {requestId, outcome, ownBytes, true};
 }
 
-ServerRecord ran(uint64_t server, const char *requestId, uint64_t epoch, int64_t startedUs)
+ServerRecord executed(uint64_t server, const char *requestId, uint64_t epoch, int64_t startedUs)
 {
     return {server, requestId, "kari", epoch, startedUs, true};
 }
 
 } // namespace
 
-Test(request_audit, promises)
+Test(request_audit, violations)
 {
-    SECTION("an honest history is clean")
+    SECTION("a correct history has no violations")
     {
-        const AuditResult result
-                = auditRequests({told("r1", ToldOutcome::Done), told("r2", ToldOutcome::NotRun)},
-                                {ran(1, "r1", 5, 10)});
+        const AuditResult result = auditRequests(
+                {reported("r1", ToldOutcome::Done), reported("r2", ToldOutcome::NotRun)},
+                {executed(1, "r1", 5, 10)});
         cr_assert(result.clean());
         cr_assert(result.answered == 1 && result.notRun == 1);
     }
-    SECTION("told done without a run, or with another's bytes, is lost")
+    SECTION("reported done without an execution, or with another response: lost")
     {
-        cr_assert(auditRequests({told("r1", ToldOutcome::Done)}, {}).lost == 1);
-        cr_assert(auditRequests({told("r1", ToldOutcome::Done, false)}, {ran(1, "r1", 5, 10)}).lost
+        cr_assert(auditRequests({reported("r1", ToldOutcome::Done)}, {}).lost == 1);
+        cr_assert(auditRequests({reported("r1", ToldOutcome::Done, false)},
+                                {executed(1, "r1", 5, 10)})
+                          .lost
                   == 1);
     }
-    SECTION("two runs of one request are a duplicate")
+    SECTION("two executions of one request: duplicated")
     {
-        cr_assert(auditRequests({told("r1", ToldOutcome::Done)},
-                                {ran(1, "r1", 5, 10), ran(1, "r1", 5, 20)})
+        cr_assert(auditRequests({reported("r1", ToldOutcome::Done)},
+                                {executed(1, "r1", 5, 10), executed(1, "r1", 5, 20)})
                           .duplicated
                   == 1);
-        SECTION("unless it was declared idempotent: then it is counted apart")
+        SECTION("of an idempotent request: counted as repeated instead")
         {
-            const AuditResult result = auditRequests({{"r1", ToldOutcome::Done, true, false}},
-                                                     {ran(1, "r1", 5, 10), ran(1, "r1", 5, 20)});
+            const AuditResult result
+                    = auditRequests({{"r1", ToldOutcome::Done, true, false}},
+                                    {executed(1, "r1", 5, 10), executed(1, "r1", 5, 20)});
             cr_assert(result.duplicated == 0 && result.repeated == 1);
         }
     }
-    SECTION("told not run, but it ran")
+    SECTION("reported as not executed, but executed")
     {
-        cr_assert(
-                auditRequests({told("r1", ToldOutcome::NotRun)}, {ran(1, "r1", 5, 10)}).notRunButRan
-                == 1);
+        cr_assert(auditRequests({reported("r1", ToldOutcome::NotRun)}, {executed(1, "r1", 5, 10)})
+                          .notRunButRan
+                  == 1);
     }
-    SECTION("two servers under one epoch, or an older epoch after a newer one, are wrong owners")
+    SECTION("two servers in one epoch, or an older epoch after a newer one: wrong owner")
     {
-        cr_assert(auditRequests({}, {ran(1, "r1", 5, 10), ran(2, "r2", 5, 20)}).wrongOwner == 1);
-        cr_assert(auditRequests({}, {ran(2, "r2", 6, 10), ran(1, "r1", 5, 20)}).wrongOwner == 1);
-        cr_assert(auditRequests({}, {ran(1, "r1", 5, 10), ran(2, "r2", 6, 20)}).wrongOwner == 0);
+        cr_assert(auditRequests({}, {executed(1, "r1", 5, 10), executed(2, "r2", 5, 20)}).wrongOwner
+                  == 1);
+        cr_assert(auditRequests({}, {executed(2, "r2", 6, 10), executed(1, "r1", 5, 20)}).wrongOwner
+                  == 1);
+        cr_assert(auditRequests({}, {executed(1, "r1", 5, 10), executed(2, "r2", 6, 20)}).wrongOwner
+                  == 0);
     }
 }
