--- a/src/adapter/clock/asio_wake_timer_factory.cpp
+++ b/src/adapter/clock/asio_wake_timer_factory.cpp
@@ -1,4 +1,4 @@
-/** @file asio_wake_timer_factory.cpp The port of waits over Boost.Asio's timers. */
+/** @file asio_wake_timer_factory.cpp Implements wake timers with Boost.Asio. */
 
 #include "adapter/clock/asio_wake_timer_factory.h"
 
--- a/src/adapter/clock/asio_wake_timer_factory.h
+++ b/src/adapter/clock/asio_wake_timer_factory.h
@@ -1,4 +1,4 @@
-/** @file asio_wake_timer_factory.h The port of waits over Boost.Asio's timers. */
+/** @file asio_wake_timer_factory.h Implements wake timers with Boost.Asio. */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** Timers that run on the event loop of the duty that waits. */
+/** Creates timers that run on the given event loop. */
 class AsioWakeTimerFactory final : public WakeTimerFactory
 {
 public:
--- a/src/adapter/clock/boot_clock_adapter.cpp
+++ b/src/adapter/clock/boot_clock_adapter.cpp
@@ -1,4 +1,4 @@
-/** @file boot_clock_adapter.cpp The clock port over CLOCK_BOOTTIME. */
+/** @file boot_clock_adapter.cpp Implements Clock with CLOCK_BOOTTIME. */
 
 #include "adapter/clock/boot_clock_adapter.h"
 
--- a/src/adapter/clock/boot_clock_adapter.h
+++ b/src/adapter/clock/boot_clock_adapter.h
@@ -1,4 +1,4 @@
-/** @file boot_clock_adapter.h The clock port over CLOCK_BOOTTIME. */
+/** @file boot_clock_adapter.h Implements Clock with CLOCK_BOOTTIME. */
 
 #pragma once
 
@@ -7,9 +7,9 @@
 namespace wisteriahoist {
 
 /**
- * Reads CLOCK_BOOTTIME. A process that was stopped for 10 s finds the clock 10 s further on, so a
- * lease that lapsed meanwhile is seen to have lapsed. A VM frozen together with its clocks is not
- * detected by this; docs/design/ownership.md says what is left then.
+ * Reads CLOCK_BOOTTIME. After a process was stopped for 10 s the clock has advanced by 10 s, so the
+ * expiry of a lease during that time is detected. The freeze of a VM together with its clocks is
+ * not detected; see docs/design/ownership.md for that case.
  */
 class BootClockAdapter final : public Clock
 {
--- a/src/adapter/clock/sleep_func.cpp
+++ b/src/adapter/clock/sleep_func.cpp
@@ -1,4 +1,4 @@
-/** @file sleep_func.cpp A coroutine's wait for a time. */
+/** @file sleep_func.cpp Asynchronous sleep of a coroutine. */
 
 #include "adapter/clock/sleep_func.h"
 
--- a/src/adapter/clock/sleep_func.h
+++ b/src/adapter/clock/sleep_func.h
@@ -1,4 +1,4 @@
-/** @file sleep_func.h A coroutine's wait for a time. */
+/** @file sleep_func.h Asynchronous sleep of a coroutine. */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** Waits for @p duration on the executor of the coroutine that awaits it. */
+/** Waits for @p duration on the executor of the awaiting coroutine. */
 boost::asio::awaitable<void> sleepFor(milliseconds duration);
 
 } // namespace wisteriahoist
--- a/src/adapter/http/header_rules.cpp
+++ b/src/adapter/http/header_rules.cpp
@@ -1,4 +1,4 @@
-/** @file header_rules.cpp Which header fields may pass from one connection to the next. */
+/** @file header_rules.cpp Selects the header fields that a proxy may forward. */
 
 #include "adapter/http/header_rules.h"
 
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::string_view OwnPrefix = "wisteriahoist-";
+constexpr std::string_view ReservedPrefix = "wisteriahoist-";
 
 bool isConnectionField(http::field field)
 {
@@ -20,10 +20,10 @@
            || field == http::field::proxy_authorization;
 }
 
-bool isOwnField(beast::string_view name)
+bool isReservedField(beast::string_view name)
 {
-    return name.size() >= OwnPrefix.size()
-           && beast::iequals(name.substr(0, OwnPrefix.size()), OwnPrefix);
+    return name.size() >= ReservedPrefix.size()
+           && beast::iequals(name.substr(0, ReservedPrefix.size()), ReservedPrefix);
 }
 
 } // namespace
@@ -37,17 +37,18 @@
             listed.emplace_back(token);
         }
     }
-    std::vector<ForwardedField> passed;
+    std::vector<ForwardedField> forwarded;
     for (const auto &field : fields) {
         const auto isSame = [&field](const std::string &name) {
             return beast::iequals(name, field.name_string());
         };
         const bool isListed = std::any_of(listed.begin(), listed.end(), isSame);
-        if (!isListed && !isConnectionField(field.name()) && !isOwnField(field.name_string())) {
-            passed.push_back({std::string(field.name_string()), std::string(field.value())});
+        if (!isListed && !isConnectionField(field.name())
+            && !isReservedField(field.name_string())) {
+            forwarded.push_back({std::string(field.name_string()), std::string(field.value())});
         }
     }
-    return passed;
+    return forwarded;
 }
 
 bool hasAmbiguousFraming(const http::fields &fields)
--- a/src/adapter/http/header_rules.h
+++ b/src/adapter/http/header_rules.h
@@ -1,4 +1,4 @@
-/** @file header_rules.h Which header fields may pass from one connection to the next. */
+/** @file header_rules.h Selects the header fields that a proxy may forward. */
 
 #pragma once
 
@@ -9,20 +9,21 @@
 
 namespace wisteriahoist {
 
-/** One header field on its way between connections. */
+/** One header field to forward. */
 struct ForwardedField {
     std::string name;
     std::string value;
 };
 
 /**
- * @return The fields of @p fields that belong to the message and not to its connection: without
- *         hop-by-hop fields, those that Connection lists, Content-Length, Expect, and the fields
- *         that only this system sets (a caller could forge an epoch with them).
+ * @return The end-to-end fields of @p fields: without hop-by-hop fields, fields listed in
+ *         Connection, Content-Length, Expect, and the fields that only this system sets (a caller
+ *         could otherwise forge an epoch).
  */
 std::vector<ForwardedField> forwardableFields(const http::fields &fields);
 
-/** @return Whether the framing of @p fields is refused: two lengths, or an unknown coding. */
+/** @return Whether the message must be rejected: several lengths, a length together with a transfer
+ *          coding, or an unsupported coding. */
 bool hasAmbiguousFraming(const http::fields &fields);
 
 } // namespace wisteriahoist
--- a/src/adapter/http/http_client.cpp
+++ b/src/adapter/http/http_client.cpp
@@ -1,4 +1,4 @@
-/** @file http_client.cpp A pooled HTTP/1.1 client over Boost.Beast. */
+/** @file http_client.cpp HTTP/1.1 client with a connection pool, over Boost.Beast. */
 
 #include "adapter/http/http_client.h"
 
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr uint64_t MaxAnswerBytes = 16 * 1024 * 1024;
-/** A connection is given up so long before the other side would close it: a request that crosses
- *  the close is lost, and nobody can tell whether it ran. */
+constexpr uint64_t MaxResponseBytes = 16 * 1024 * 1024;
+/** An idle connection is discarded this long before the server would close it: a request that
+ *  crosses the close is lost, and it is unknown whether it was executed. */
 constexpr milliseconds IdleMargin{1000};
 
 template <int Name>
@@ -39,10 +39,10 @@
     : executor_(std::move(executor)), endpoint_(asio::ip::make_address(ip), port), limits_(limits)
 { }
 
-void HttpClient::limitSilence(tcp::socket &socket) const
+void HttpClient::configureSocket(tcp::socket &socket) const
 {
-    // Something between the two ends may lose track of a connection; without these bounds each
-    // request that takes it from the pool waits for its whole deadline.
+    // A device between the two ends may silently drop the state of a connection. Without these
+    // limits each request on such a pooled connection would wait until its deadline.
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -51,7 +51,7 @@
     socket.set_option(TcpOption<TCP_KEEPINTVL>(static_cast<int>(limits_.probeInterval.count())),
                       ignored);
     socket.set_option(TcpOption<TCP_KEEPCNT>(static_cast<int>(limits_.probes)), ignored);
-    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(static_cast<int>(limits_.silence.count())),
+    socket.set_option(TcpOption<TCP_USER_TIMEOUT>(static_cast<int>(limits_.userTimeout.count())),
                       ignored);
 }
 
@@ -68,14 +68,14 @@
     if (error) {
         control.refused_ = error == asio::error::connection_refused
                            || error == asio::error::connection_reset;
-        co_return Failure{FailureCode::Unavailable, "connect: " + error.message()};
+        co_return Failure{FailureCode::Unavailable, "connecting failed: " + error.message()};
     }
-    limitSilence(stream->socket());
+    configureSocket(stream->socket());
     ++connectionsOpened_;
     co_return std::move(stream);
 }
 
-HttpClient::Connection HttpClient::takeIdle()
+HttpClient::Connection HttpClient::acquireIdle()
 {
     const SteadyTime now = std::chrono::steady_clock::now();
     while (!idle_.empty()) {
@@ -85,7 +85,7 @@
         if (until <= now) {
             continue;
         }
-        // A connection that the other side closed while idle is readable (end of file): leave it.
+        // A connection that the server closed while idle is readable (end of file): discard it.
         beast::error_code error;
         connection->socket().non_blocking(true, error);
         char probe = 0;
@@ -97,7 +97,7 @@
     return nullptr;
 }
 
-void HttpClient::putIdle(Connection connection, std::chrono::milliseconds idleTime)
+void HttpClient::releaseIdle(Connection connection, std::chrono::milliseconds idleTime)
 {
     const SteadyTime now = std::chrono::steady_clock::now();
     connection->expires_never();
@@ -134,7 +134,7 @@
         if (!connection) {
             co_return;
         }
-        putIdle(std::move(connection.assume_value()), limits_.idleTime);
+        releaseIdle(std::move(connection.assume_value()), limits_.idleTime);
     }
 }
 
@@ -146,7 +146,7 @@
     if (!control) {
         control = std::make_shared<ExchangeControl>();
     }
-    Connection connection = control->ownConnection_ ? nullptr : takeIdle();
+    Connection connection = control->ownConnection_ ? nullptr : acquireIdle();
     if (!connection) {
         Result<Connection> opened = co_await open(deadline, *control);
         if (!opened) {
@@ -155,13 +155,14 @@
         connection = std::move(opened.assume_value());
     }
     if (control->cancelled_) {
-        putIdle(std::move(connection), limits_.idleTime);
-        co_return Failure{FailureCode::Unavailable, "cancelled before sending"};
+        releaseIdle(std::move(connection), limits_.idleTime);
+        co_return Failure{FailureCode::Unavailable, "request cancelled before sending"};
     }
     if (control->isInTime_ && !control->isInTime_()) {
         control->tooLate_ = true;
-        putIdle(std::move(connection), limits_.idleTime);
-        co_return Failure{FailureCode::Unavailable, "too late to be sent"};
+        releaseIdle(std::move(connection), limits_.idleTime);
+        co_return Failure{FailureCode::Unavailable,
+                          "deadline check failed before sending; request not sent"};
     }
     control->stream_ = connection.get();
     request.version(11);
@@ -176,33 +177,34 @@
             *connection, request, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
         control->stream_ = nullptr;
-        // Not one byte was taken by the operating system: the other side cannot have acted.
+        // The operating system accepted no byte: the server cannot have executed the request.
         const bool nothingSent = sent == 0;
         control->stage_ = nothingSent ? RequestStage::Received : RequestStage::PartlySent;
         co_return Failure{nothingSent ? FailureCode::Unavailable : FailureCode::Ambiguous,
-                          "write: " + error.message()};
+                          "sending the request failed: " + error.message()};
     }
     control->stage_ = RequestStage::Sent;
     const bool headOnly = request.method() == http::verb::head;
-    Result<HttpResponse> answer = co_await read(*connection, headOnly, *control);
+    Result<HttpResponse> result = co_await read(*connection, headOnly, timeout, *control);
     control->stream_ = nullptr;
-    if (answer && answer.assume_value().keep_alive() && !control->ownConnection_) {
-        const std::chrono::milliseconds idleTime = idleTimeOf(answer.assume_value());
-        putIdle(std::move(connection), idleTime);
+    if (result && result.assume_value().keep_alive() && !control->ownConnection_) {
+        const std::chrono::milliseconds idleTime = idleTimeOf(result.assume_value());
+        releaseIdle(std::move(connection), idleTime);
     }
-    co_return answer;
+    co_return result;
 }
 
 asio::awaitable<Result<HttpResponse>> HttpClient::read(beast::tcp_stream &stream, bool headOnly,
+                                                       milliseconds timeout,
                                                        ExchangeControl &control)
 {
     beast::flat_buffer buffer;
     HttpResponse response;
-    bool foreign = false;
-    bool strayed = false;
+    bool misplaced = false;
+    bool anyMisplaced = false;
     do {
         http::response_parser<http::string_body> parser;
-        parser.body_limit(MaxAnswerBytes);
+        parser.body_limit(MaxResponseBytes);
         parser.skip(headOnly);
         beast::error_code error;
         co_await http::async_read(stream, buffer, parser,
@@ -211,30 +213,34 @@
             control.stage_ = RequestStage::PartlyAnswered;
         }
         if (error == beast::error::timeout) {
-            co_return Failure{FailureCode::DeadlineExceeded, "no whole answer in time"};
+            co_return Failure{FailureCode::DeadlineExceeded,
+                              "no complete response within " + std::to_string(timeout.count())
+                                      + " ms; connection closed"};
         }
         const bool broken = error.category() == make_error_code(http::error::bad_version).category()
                             && error != http::error::end_of_stream
                             && error != http::error::partial_message;
         if (error) {
             co_return Failure{broken ? FailureCode::Malformed : FailureCode::Ambiguous,
-                              "read: " + error.message()};
+                              "reading the response failed: " + error.message()};
         }
-        // An answer that ends with its connection cannot be told from one that was cut off.
+        // A response that is delimited by the end of the connection cannot be distinguished from a
+        // truncated one.
         if (!headOnly && parser.need_eof() && !limits_.unframed) {
-            co_return Failure{FailureCode::Malformed, "the answer has no length"};
+            co_return Failure{FailureCode::Malformed,
+                              "response has neither Content-Length nor chunked coding"};
         }
         response = parser.release();
-        // A second answer to an earlier request may lie where ours is due; its sender has lost
-        // count of its answers, so the connection is not used again.
-        foreign = control.belongs_ && !isInterim(response) && !control.belongs_(response);
-        strayed |= foreign;
-    } while (isInterim(response) || foreign);
-    if (strayed) {
+        // A duplicate response to an earlier request may arrive before the expected one. The order
+        // of responses on this connection is then unreliable, so it is not reused.
+        misplaced = control.isExpected_ && !isInterim(response) && !control.isExpected_(response);
+        anyMisplaced |= misplaced;
+    } while (isInterim(response) || misplaced);
+    if (anyMisplaced) {
         response.keep_alive(false);
     }
-    // Left-over bytes belong to no request of ours: the length did not match, and what follows
-    // would be taken for the next request's answer.
+    // Bytes beyond the response mean that its length was wrong. They would be parsed as the
+    // response to the next request, so the connection is not reused.
     if (buffer.size() != 0) {
         response.keep_alive(false);
     }
--- a/src/adapter/http/http_client.h
+++ b/src/adapter/http/http_client.h
@@ -1,5 +1,5 @@
-/** @file http_client.h A pooled HTTP/1.1 client over Boost.Beast, for the platform and backend
- * servers. */
+/** @file http_client.h HTTP/1.1 client with a connection pool, over Boost.Beast; used for the
+ * platform and for backend servers. */
 
 #pragma once
 
@@ -16,65 +16,68 @@
 
 namespace wisteriahoist {
 
-/** How far one exchange has come, and the way to end it early. */
+/** Tracks the progress of one request/response exchange, configures it and can cancel it. */
 class ExchangeControl
 {
 public:
-    /** Closes the exchange's connection; the other side may have acted. */
+    /** Closes the exchange's connection; the server may have executed the request. */
     void cancel();
 
     RequestStage stage() const { return stage_; }
     bool isCancelled() const { return cancelled_; }
 
-    /** @return Whether the address refused the connection: nothing listens there. */
+    /** @return Whether the connection was refused, that is, nothing listens at the address. */
     bool isRefused() const { return refused_; }
 
-    /** The exchange gets a connection that no other one has used or will use, so that no answer of
-     *  another request can be read there. */
+    /** Uses a dedicated connection that is shared with no other exchange, so that no response to
+     *  another request can arrive on it. */
     void useOwnConnection() { ownConnection_ = true; }
 
-    /** @return Whether nothing was sent since it was too late for that. */
+    /** @return Whether the request was not sent because the check set by sendOnlyIf() failed. */
     bool isTooLate() const { return tooLate_; }
 
-    /** @param isInTime Asked right before the first byte is sent; if not, nothing is sent. */
+    /** @param isInTime Called directly before the first byte is sent; if it returns false the
+     *  request is not sent. */
     void sendOnlyIf(std::function<bool()> isInTime) { isInTime_ = std::move(isInTime); }
 
-    /** Answers for which @p belongs is false are dropped, and the next one is waited for. */
-    void setResponseFilter(std::function<bool(const HttpResponse &)> belongs)
+    /** Discards responses for which @p isExpected returns false and waits for the next one. */
+    void setResponseFilter(std::function<bool(const HttpResponse &)> isExpected)
     {
-        belongs_ = std::move(belongs);
+        isExpected_ = std::move(isExpected);
     }
 
 private:
     friend class HttpClient;
-    beast::tcp_stream *stream_ = nullptr; ///< Set while a connection is in use.
+    beast::tcp_stream *stream_ = nullptr; ///< Connection in use; nullptr if none.
     RequestStage stage_ = RequestStage::Received;
     bool cancelled_ = false;
     bool refused_ = false;
     bool ownConnection_ = false;
     bool tooLate_ = false;
-    std::function<bool()> isInTime_;                    ///< Empty: it is sent whenever that may be.
-    std::function<bool(const HttpResponse &)> belongs_; ///< Empty: any answer belongs.
+    std::function<bool()> isInTime_;                       ///< Empty: no check before sending.
+    std::function<bool(const HttpResponse &)> isExpected_; ///< Empty: accepts any response.
 };
 
-/** Bounds of a client's pool. */
+/** Limits of a connection pool. */
 struct PoolLimits {
-    size_t idle = 128;                     ///< Connections kept without a request.
-    std::chrono::seconds idleTime{30};     ///< An older one is closed.
-    milliseconds silence{2000};            ///< Unacknowledged bytes for so long end a connection.
-    std::chrono::seconds probeAfter{5};    ///< A connection without any bytes is probed then.
-    std::chrono::seconds probeInterval{1}; ///< Between two probes.
-    uint32_t probes = 3;                   ///< Unanswered ones that end it.
-    milliseconds connect{0};               ///< For a new connection; 0: the exchange's timeout.
-    bool unframed = false; ///< Answers that end with their connection are taken for whole.
+    size_t idle = 128;                 ///< Maximum number of idle connections.
+    std::chrono::seconds idleTime{30}; ///< Idle connections are closed after this time.
+    /** TCP_USER_TIMEOUT: the connection closes if sent bytes stay unacknowledged for this time. */
+    milliseconds userTimeout{2000};
+    std::chrono::seconds probeAfter{5};    ///< TCP_KEEPIDLE: idle time before the first probe.
+    std::chrono::seconds probeInterval{1}; ///< TCP_KEEPINTVL: time between probes.
+    uint32_t probes = 3;     ///< TCP_KEEPCNT: unanswered probes before the connection is closed.
+    milliseconds connect{0}; ///< Connect timeout; 0: only the timeout of the exchange applies.
+    bool unframed = false;   ///< Accept responses that are delimited by the end of the connection.
 };
 
 /**
- * Sends requests to one address over pooled connections, one request at a time on each.
+ * Sends requests to one address over pooled connections, one request at a time per connection.
  *
  * Failures: Unavailable if no byte of the request was sent, Ambiguous or DeadlineExceeded if the
- * other side may have acted. A connection is returned to the pool only after a whole answer: a
- * connection that timed out is closed, so that a late answer can never reach another request.
+ * server may have executed the request. A connection is returned to the pool only after a complete
+ * response; a connection that timed out is closed, so that a late response cannot be assigned to
+ * another request.
  */
 class HttpClient
 {
@@ -83,13 +86,13 @@
                PoolLimits limits = {});
 
     /**
-     * Sends @p request and waits at most @p timeout for the whole answer.
-     * @param control Optional; tells how far the exchange has come, and can end it.
+     * Sends @p request and waits at most @p timeout for the complete response.
+     * @param control Optional; tracks the progress of the exchange and can cancel it.
      */
     asio::awaitable<Result<HttpResponse>> exchange(HttpRequest request, milliseconds timeout,
                                                    std::shared_ptr<ExchangeControl> control = {});
 
-    /** Opens connections ahead of need until @p count are idle. */
+    /** Opens connections in advance until @p count are idle. */
     asio::awaitable<void> preconnect(size_t count);
 
     uint64_t connectionsOpened() const { return connectionsOpened_; }
@@ -100,21 +103,21 @@
     using SteadyTime = std::chrono::steady_clock::time_point;
     struct Idle {
         Connection connection;
-        SteadyTime until; ///< The other side may close it after that.
+        SteadyTime until; ///< The server may close the connection after this time.
     };
 
     asio::awaitable<Result<Connection>> open(SteadyTime deadline, ExchangeControl &control);
     asio::awaitable<Result<HttpResponse>> read(beast::tcp_stream &stream, bool headOnly,
-                                               ExchangeControl &control);
-    void limitSilence(tcp::socket &socket) const;
-    Connection takeIdle();
-    void putIdle(Connection connection, std::chrono::milliseconds idleTime);
+                                               milliseconds timeout, ExchangeControl &control);
+    void configureSocket(tcp::socket &socket) const;
+    Connection acquireIdle();
+    void releaseIdle(Connection connection, std::chrono::milliseconds idleTime);
     std::chrono::milliseconds idleTimeOf(const HttpResponse &response) const;
 
     asio::any_io_executor executor_;
     tcp::endpoint endpoint_;
     PoolLimits limits_;
-    std::deque<Idle> idle_; ///< The last one was used last. Invariant: no request is outstanding on
+    std::deque<Idle> idle_; ///< Most recently used last. Invariant: no request is outstanding on
                             ///< any of them.
     uint64_t connectionsOpened_ = 0;
 };
--- a/src/adapter/http/http_connection.cpp
+++ b/src/adapter/http/http_connection.cpp
@@ -1,4 +1,4 @@
-/** @file http_connection.cpp One connection of a caller. */
+/** @file http_connection.cpp Server side of one HTTP/1.1 connection. */
 
 #include "adapter/http/http_connection.h"
 
@@ -15,41 +15,46 @@
 namespace {
 
 /**
- * Requests of one connection that run at the same time. A caller that sends ahead has a handful on
- * their way; the bound keeps one connection from taking all slots of a backend server.
+ * Maximum number of requests of one connection that run concurrently. A pipelining caller usually
+ * has a handful in flight; the limit keeps one connection from occupying all slots of a backend
+ * server.
  */
-constexpr size_t MostAtOnce = 16;
-/** Read ahead of a request that waits, so that a caller that leaves meanwhile is seen. */
-constexpr size_t MostUnread = 64 * 1024;
+constexpr size_t MaxConcurrentRequests = 16;
+/** Bytes that are buffered behind a request that waits. Reading continues during the wait so that
+ *  a disconnect of the caller is noticed. */
+constexpr size_t MaxBufferedBytes = 64 * 1024;
 /**
- * How long bytes are read and dropped after the last answer. Closed with bytes unread, a connection
- * is reset, and the caller may lose an answer that it has not read yet; a caller that has read it
- * closes its side at once.
+ * How long bytes are read and discarded after the last response. Closing a socket with unread bytes
+ * resets the connection, and the caller may lose a response that it has not read yet. A caller that
+ * has read it closes its side immediately.
  */
-constexpr milliseconds DrainAfterAnswers{1000};
+constexpr milliseconds LingerTime{1000};
 
-/** @return The answer to input that the parser refused. */
-HttpResponse makeParserProblem(beast::error_code error)
+/** @return The response to input that the parser rejected. */
+HttpResponse makeParserErrorResponse(beast::error_code error, const HttpLimits &limits)
 {
     if (error == http::error::header_limit) {
         return makeProblemResponse({http::status::request_header_fields_too_large,
-                                    "header-too-large", "The header section is over its bound."});
+                                    "header-too-large",
+                                    "The header section exceeds the limit of "
+                                            + std::to_string(limits.headerBytes) + " bytes."});
     }
     if (error == http::error::body_limit) {
         return makeProblemResponse(
-                {http::status::payload_too_large, "body-too-large", "The body is over its bound."});
+                {http::status::payload_too_large, "body-too-large",
+                 "The body exceeds the limit of " + std::to_string(limits.bodyBytes) + " bytes."});
     }
     return makeProblemResponse({http::status::bad_request, "malformed-request", error.message()});
 }
 
-HttpResponse makeMalformed(const std::string &detail)
+HttpResponse makeBadRequestResponse(const std::string &detail)
 {
     return makeProblemResponse(
             {http::status::bad_request, "malformed-request", detail, milliseconds(0)});
 }
 
-/** @return Whether requests of this sort may run beside each other. */
-bool runsAlone(const HttpRequest &request)
+/** @return Whether @p request must not run concurrently with other requests of its connection. */
+bool runsExclusively(const HttpRequest &request)
 {
     const bool safe = request.method() == http::verb::get || request.method() == http::verb::head;
     return !safe || !request.body().empty();
@@ -58,7 +63,7 @@
 } // namespace
 
 HttpConnection::HttpConnection(std::shared_ptr<HttpServerState> server, tcp::socket socket)
-    : server_(std::move(server)), socket_(std::move(socket)), silenceTimer_(socket_.get_executor())
+    : server_(std::move(server)), socket_(std::move(socket)), idleTimer_(socket_.get_executor())
 {
     server_->connections.insert(this);
 }
@@ -72,8 +77,8 @@
 {
     beast::error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
-    noteActive();
-    watchSilence(server_->limits.idle);
+    recordActivity();
+    startIdleTimer(server_->limits.idle);
     asio::co_spawn(
             socket_.get_executor(), [self = shared_from_this()]() { return self->readLoop(); },
             asio::detached);
@@ -82,7 +87,7 @@
 asio::awaitable<void> HttpConnection::readLoop()
 {
     while (!closed_) {
-        if (mayEndIdle()) {
+        if (canCloseIdle()) {
             close();
             co_return;
         }
@@ -90,24 +95,24 @@
         const size_t count = co_await socket_.async_read_some(
                 asio::buffer(chunk_), asio::redirect_error(asio::use_awaitable, error));
         if (closed_) {
-            // A read may have ended well before the close, with its bytes still to be looked at. A
-            // request among them would run and find no connection for its answer.
+            // The read may have completed before the close, with its bytes not parsed yet. A
+            // request among them would be executed without a connection for its response.
             co_return;
         }
         if (error == asio::error::operation_aborted) {
-            continue; // By closeIfIdle(): what has come by now decides.
+            continue; // Cancelled by closeIfIdle(): canCloseIdle() decides.
         }
         if (error) {
-            onCallerGone();
+            onCallerDisconnected();
             co_return;
         }
-        noteActive();
+        recordActivity();
         if (!reading_) {
             continue;
         }
-        if (buffer_.size() + count > MostUnread && parked_) {
-            // Behind the answers that are due the caller sends the rest again.
-            readNoMore();
+        if (buffer_.size() + count > MaxBufferedBytes && waitingRequest_) {
+            // The connection closes after the pending responses; the caller resends the rest.
+            stopReading();
             continue;
         }
         const asio::mutable_buffer space = buffer_.prepare(count);
@@ -119,7 +124,7 @@
 
 void HttpConnection::parse()
 {
-    while (reading_ && !parked_ && buffer_.size() > 0 && parseOne()) { }
+    while (reading_ && !waitingRequest_ && buffer_.size() > 0 && parseOne()) { }
 }
 
 bool HttpConnection::parseOne()
@@ -130,7 +135,7 @@
         parser_->body_limit(server_->limits.bodyBytes);
         parser_->eager(true);
         server_->openRequests.fetch_add(1, std::memory_order_relaxed);
-        counted_ = true;
+        countedAsOpen_ = true;
     }
     beast::error_code error;
     const bool hadHead = parser_->is_header_done();
@@ -142,7 +147,7 @@
         return false;
     }
     if (error) {
-        refuse(makeParserProblem(error));
+        reject(makeParserErrorResponse(error, server_->limits));
         return false;
     }
     if (!hadHead && parser_->is_header_done() && !checkHead()) {
@@ -153,18 +158,20 @@
     }
     HttpRequest request = parser_->release();
     parser_.reset();
-    take(std::move(request));
+    onRequest(std::move(request));
     return true;
 }
 
-/** @return Whether the request that has begun may be read on. */
+/** Checks the header section of the current request. @return Whether reading it may continue. */
 bool HttpConnection::checkHead()
 {
     parser_->eager(true);
-    // Two framings of one message let the two ends of a connection disagree where it ends; the
-    // rest of the first caller's bytes would then be read as another caller's request.
+    // With ambiguous framing the two ends of a connection may disagree on where a message ends. The
+    // remaining bytes of one caller could then be parsed as another caller's request.
     if (hasAmbiguousFraming(parser_->get())) {
-        refuse(makeMalformed("The length of the body is ambiguous."));
+        reject(makeBadRequestResponse(
+                "Ambiguous body length: several Content-Length fields, Content-Length with "
+                "Transfer-Encoding, or an unsupported transfer coding."));
         return false;
     }
     if (!parser_->is_done()
@@ -172,33 +179,33 @@
         const auto exchange = std::make_shared<Exchange>();
         exchange->isInterim = true;
         exchange->response.emplace(http::status::continue_, 11);
-        due_.push_back(exchange);
-        answerNow(exchange);
+        pending_.push_back(exchange);
+        startWriting(exchange);
     }
     return true;
 }
 
-void HttpConnection::take(HttpRequest request)
+void HttpConnection::onRequest(HttpRequest request)
 {
     if (request.count(http::field::host) != 1) {
-        refuse(makeMalformed("Exactly one Host field is needed."));
+        reject(makeBadRequestResponse("The request must have exactly one Host field."));
         return;
     }
-    if (mayRun(request)) {
+    if (canRun(request)) {
         dispatch(std::move(request));
     } else {
-        parked_ = std::move(request);
+        waitingRequest_ = std::move(request);
     }
 }
 
-bool HttpConnection::mayRun(const HttpRequest &request) const
+bool HttpConnection::canRun(const HttpRequest &request) const
 {
-    if (due_.empty()) {
+    if (pending_.empty()) {
         return true;
     }
-    return !runsAlone(request) && due_.size() < MostAtOnce
-           && std::none_of(due_.begin(), due_.end(),
-                           [](const ExchangePtr &due) { return due->runsAlone; });
+    return !runsExclusively(request) && pending_.size() < MaxConcurrentRequests
+           && std::none_of(pending_.begin(), pending_.end(),
+                           [](const ExchangePtr &exchange) { return exchange->runsExclusively; });
 }
 
 void HttpConnection::dispatch(HttpRequest request)
@@ -206,10 +213,10 @@
     const auto exchange = std::make_shared<Exchange>();
     exchange->headOnly = request.method() == http::verb::head;
     exchange->keepAlive = request.keep_alive();
-    exchange->runsAlone = runsAlone(request);
-    reading_ = exchange->keepAlive; // Behind the last request nothing is read.
-    counted_ = false;               // It is counted by its exchange from now on.
-    due_.push_back(exchange);
+    exchange->runsExclusively = runsExclusively(request);
+    reading_ = exchange->keepAlive; // Stop reading after the last request.
+    countedAsOpen_ = false;         // The exchange counts as open from here on.
+    pending_.push_back(exchange);
     asio::co_spawn(
             socket_.get_executor(),
             [self = shared_from_this(), exchange, request = std::move(request)]() mutable {
@@ -218,78 +225,78 @@
             asio::detached);
 }
 
-void HttpConnection::dispatchParked()
+void HttpConnection::dispatchWaiting()
 {
-    if (parked_ && reading_ && mayRun(*parked_)) {
-        HttpRequest request = std::move(*parked_);
-        parked_.reset();
+    if (waitingRequest_ && reading_ && canRun(*waitingRequest_)) {
+        HttpRequest request = std::move(*waitingRequest_);
+        waitingRequest_.reset();
         dispatch(std::move(request));
     }
     parse();
 }
 
-void HttpConnection::refuse(HttpResponse response)
+void HttpConnection::reject(HttpResponse response)
 {
-    // After malformed input nobody knows where the next request begins: the connection ends.
+    // After malformed input the start of the next request is unknown, so the connection closes.
     const auto exchange = std::make_shared<Exchange>();
     exchange->keepAlive = false;
     exchange->response = std::move(response);
-    if (!counted_) {
+    if (!countedAsOpen_) {
         server_->openRequests.fetch_add(1, std::memory_order_relaxed);
     }
-    counted_ = false;
+    countedAsOpen_ = false;
     reading_ = false;
-    due_.push_back(exchange);
-    answerNow(exchange);
+    pending_.push_back(exchange);
+    startWriting(exchange);
 }
 
 asio::awaitable<void> HttpConnection::runHandler(ExchangePtr exchange, HttpRequest request)
 {
-    HttpResponse response = co_await server_->handler(std::move(request), exchange->caller);
+    HttpResponse response = co_await server_->handler(std::move(request), exchange->disconnect);
     exchange->response = std::move(response);
-    co_await writeAnswers();
+    co_await writeResponses();
 }
 
-void HttpConnection::answerNow(const ExchangePtr &exchange)
+void HttpConnection::startWriting(const ExchangePtr &exchange)
 {
-    if (!writing_ && due_.front() == exchange) {
+    if (!writing_ && pending_.front() == exchange) {
         asio::co_spawn(
                 socket_.get_executor(),
-                [self = shared_from_this()]() { return self->writeAnswers(); }, asio::detached);
+                [self = shared_from_this()]() { return self->writeResponses(); }, asio::detached);
     }
 }
 
-asio::awaitable<void> HttpConnection::writeAnswers()
+asio::awaitable<void> HttpConnection::writeResponses()
 {
     const auto self = shared_from_this();
     if (writing_) {
         co_return;
     }
     writing_ = true;
-    while (!closed_ && !due_.empty() && due_.front()->response) {
-        const ExchangePtr exchange = due_.front();
-        if ((server_->stopping || server_->closing) && !exchange->isInterim) {
-            readNoMore();
+    while (!closed_ && !pending_.empty() && pending_.front()->response) {
+        const ExchangePtr exchange = pending_.front();
+        if ((server_->stopping || server_->closingAfterResponses) && !exchange->isInterim) {
+            stopReading();
         }
-        const bool last = !reading_ && due_.size() == 1 && !exchange->isInterim;
+        const bool last = !reading_ && pending_.size() == 1 && !exchange->isInterim;
         const bool written = co_await write(*exchange, last);
         if (closed_) {
             break;
         }
-        due_.pop_front();
+        pending_.pop_front();
         if (!exchange->isInterim) {
             server_->openRequests.fetch_sub(1, std::memory_order_relaxed);
         }
         if (!written) {
             close();
-        } else if (!reading_ && due_.empty()) {
-            endAnswers();
+        } else if (!reading_ && pending_.empty()) {
+            shutdownSending();
         } else {
-            dispatchParked();
+            dispatchWaiting();
         }
     }
     writing_ = false;
-    if (!closed_ && server_->closed) {
+    if (!closed_ && server_->closingIdle) {
         closeIfIdle();
     }
 }
@@ -297,7 +304,7 @@
 asio::awaitable<bool> HttpConnection::write(Exchange &exchange, bool last)
 {
     HttpResponse &response = *exchange.response;
-    noteActive();
+    recordActivity();
     beast::error_code error;
     response.version(11);
     if (exchange.isInterim) {
@@ -308,7 +315,7 @@
     }
     response.keep_alive(!last);
     if (exchange.headOnly) {
-        // The serializer would send the body; a HEAD answer has the length but no body.
+        // The response to HEAD states the length but has no body, which the serializer would send.
         http::response<http::empty_body> head(response.base());
         if (head.find(http::field::content_length) == head.end()) {
             head.content_length(response.body().size());
@@ -319,41 +326,41 @@
         co_await http::async_write(socket_, response,
                                    asio::redirect_error(asio::use_awaitable, error));
     }
-    noteActive();
+    recordActivity();
     co_return !error;
 }
 
-/** Ends the connection with the answers to what has been passed on. */
-void HttpConnection::readNoMore()
+/** Stops reading; the connection closes after the responses to the dispatched requests. */
+void HttpConnection::stopReading()
 {
     reading_ = false;
-    parked_.reset();
-    // Leave to send a body that is not read would be followed by no answer. The first one stays: it
-    // may be on its way, and the connection ends when it has been written.
-    if (due_.size() > 1 && due_.back()->isInterim) {
-        due_.pop_back();
+    waitingRequest_.reset();
+    // Drop a queued 100 Continue: its body is not read and no final response would follow. If it is
+    // the first in the queue it may be in transmission; the connection closes after it.
+    if (pending_.size() > 1 && pending_.back()->isInterim) {
+        pending_.pop_back();
     }
 }
 
-void HttpConnection::onCallerGone()
+void HttpConnection::onCallerDisconnected()
 {
-    readNoMore();
-    const std::deque<ExchangePtr> due = due_;
-    for (const ExchangePtr &exchange : due) {
-        exchange->caller->markDisconnected();
+    stopReading();
+    const std::deque<ExchangePtr> exchanges = pending_;
+    for (const ExchangePtr &exchange : exchanges) {
+        exchange->disconnect->markDisconnected();
     }
-    // Answers that are due are written all the same: a caller may have closed only its own side.
-    if (due_.empty() || shutDown_) {
+    // Pending responses are still written: the caller may have closed only its sending side.
+    if (pending_.empty() || sendingShutDown_) {
         close();
     }
 }
 
-void HttpConnection::endAnswers()
+void HttpConnection::shutdownSending()
 {
     beast::error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
-    shutDown_ = true;
-    watchSilence(DrainAfterAnswers);
+    sendingShutDown_ = true;
+    startIdleTimer(LingerTime);
 }
 
 void HttpConnection::close()
@@ -362,66 +369,67 @@
         return;
     }
     closed_ = true;
-    size_t open = counted_ ? 1 : 0;
-    for (const ExchangePtr &exchange : due_) {
-        exchange->caller->markDisconnected();
-        open += exchange->isInterim ? 0 : 1;
+    size_t openCount = countedAsOpen_ ? 1 : 0;
+    for (const ExchangePtr &exchange : pending_) {
+        exchange->disconnect->markDisconnected();
+        openCount += exchange->isInterim ? 0 : 1;
     }
-    counted_ = false;
-    due_.clear();
-    server_->openRequests.fetch_sub(open, std::memory_order_relaxed);
-    silenceTimer_.cancel();
+    countedAsOpen_ = false;
+    pending_.clear();
+    server_->openRequests.fetch_sub(openCount, std::memory_order_relaxed);
+    idleTimer_.cancel();
     beast::error_code ignored;
     socket_.close(ignored);
 }
 
 bool HttpConnection::isIdle() const
 {
-    return due_.empty() && !counted_ && !parked_ && !shutDown_;
+    return pending_.empty() && !countedAsOpen_ && !waitingRequest_ && !sendingShutDown_;
 }
 
-bool HttpConnection::mayEndIdle() const
+bool HttpConnection::canCloseIdle() const
 {
     beast::error_code ignored;
-    return server_->closed && isIdle() && socket_.available(ignored) == 0;
+    return server_->closingIdle && isIdle() && socket_.available(ignored) == 0;
 }
 
 void HttpConnection::closeIfIdle()
 {
     if (isIdle()) {
-        // Nobody but the read loop knows whether a read has just ended with a request's first
-        // bytes. It is woken from a read that has not, and ends the connection or reads on.
+        // Only the read loop knows whether a read has just completed with the first bytes of a
+        // request. Cancelling a pending read wakes it; it then closes the connection or continues.
         beast::error_code ignored;
         socket_.cancel(ignored);
     }
 }
 
-void HttpConnection::noteActive()
+void HttpConnection::recordActivity()
 {
-    activeAt_ = std::chrono::steady_clock::now();
+    lastActivity_ = std::chrono::steady_clock::now();
 }
 
 /**
- * Closes a connection on which nothing moves: no request comes, or the caller does not read its
- * answers. While a request runs, silence is expected. One timer that is looked at when it ends
- * costs less than one that is set anew with each request.
+ * Closes an inactive connection: no request arrives, or the caller does not read its responses.
+ * Inactivity is normal while a request runs. One timer that checks the last activity when it
+ * expires costs less than restarting a timer with each request.
  */
-void HttpConnection::watchSilence(milliseconds after)
+void HttpConnection::startIdleTimer(milliseconds after)
 {
-    silenceTimer_.expires_after(after);
-    silenceTimer_.async_wait([self = weak_from_this()](beast::error_code error) {
+    idleTimer_.expires_after(after);
+    idleTimer_.async_wait([self = weak_from_this()](beast::error_code error) {
         const std::shared_ptr<HttpConnection> connection = self.lock();
         if (error || !connection || connection->closed_) {
             return;
         }
-        const auto silent = std::chrono::duration_cast<milliseconds>(
-                std::chrono::steady_clock::now() - connection->activeAt_);
+        const auto idleFor = std::chrono::duration_cast<milliseconds>(
+                std::chrono::steady_clock::now() - connection->lastActivity_);
         const milliseconds bound = connection->server_->limits.idle;
-        const bool isRunning = !connection->due_.empty() && !connection->due_.front()->response;
-        if (connection->shutDown_ || (silent >= bound && !isRunning)) {
+        const bool isRunning
+                = !connection->pending_.empty() && !connection->pending_.front()->response;
+        if (connection->sendingShutDown_ || (idleFor >= bound && !isRunning)) {
             connection->close();
         } else {
-            connection->watchSilence(isRunning ? bound : bound - silent);
+            connection->startIdleTimer(isRunning ? bound : bound - idleFor);
         }
     });
 }
--- a/src/adapter/http/http_connection.h
+++ b/src/adapter/http/http_connection.h
@@ -1,4 +1,4 @@
-/** @file http_connection.h One connection of a caller: requests in, answers out in their order. */
+/** @file http_connection.h Server side of one HTTP/1.1 connection, with pipelining. */
 
 #pragma once
 
@@ -16,26 +16,26 @@
 
 class HttpConnection;
 
-/** What a server and its connections share. Used by one thread, but for openRequests. */
+/** State shared by a server and its connections. Used by one thread, except openRequests. */
 struct HttpServerState {
     HttpLimits limits;
     CancellableHttpHandler handler;
     std::atomic<size_t> openRequests{0};
     std::set<HttpConnection *> connections; ///< Invariant: at most limits.connections.
-    bool stopping = false;                  ///< Nothing is accepted any more.
-    bool closing = false;                   ///< Each connection ends with the answers that are due.
-    bool closed = false;                    ///< Idle connections end.
+    bool stopping = false;                  ///< No new connections are accepted.
+    bool closingAfterResponses = false;     ///< Connections close after their pending responses.
+    bool closingIdle = false;               ///< Idle connections are closed.
 };
 
 /**
- * Reads requests while earlier ones run, and answers them in the order in which they came. Requests
- * without effect (GET, HEAD) and without a body run at the same time, up to a bound; any other one
- * runs when all before it have been answered and nothing runs beside it.
+ * Reads requests while earlier ones run, and sends the responses in request order. Safe requests
+ * (GET, HEAD) without a body run concurrently, up to a limit. Any other request runs only after all
+ * earlier ones have been answered, and no other request runs concurrently with it.
  *
- * Invariants: what was passed on is answered before the connection is closed from here; behind an
- * answer that announces the close nothing has been passed on, so a caller may send it again; when
- * a server stops, idle connections are ended by their read loops, which alone know that nothing has
- * arrived.
+ * Invariants: the server does not close a connection before all dispatched requests have been
+ * answered. No request after a response with "Connection: close" is dispatched, so the caller may
+ * resend it. When the server stops, the read loops close idle connections, because only they know
+ * that no bytes have arrived.
  */
 class HttpConnection : public std::enable_shared_from_this<HttpConnection>
 {
@@ -45,58 +45,58 @@
 
     void start();
 
-    /** Closes the connection unless a request has begun to arrive on it, which is then answered. */
+    /** Closes the connection unless a request has begun to arrive; such a request is answered. */
     void closeIfIdle();
 
 private:
     using Parser = http::request_parser<http::string_body>;
 
-    /** One request whose answer is due. */
+    /** A dispatched request whose response has not been sent completely. */
     struct Exchange {
-        std::shared_ptr<DisconnectSignal> caller = std::make_shared<DisconnectSignal>();
+        std::shared_ptr<DisconnectSignal> disconnect = std::make_shared<DisconnectSignal>();
         std::optional<HttpResponse> response;
         bool headOnly = false;
         bool keepAlive = true;
-        bool runsAlone = false; ///< Nothing may run beside it.
-        bool isInterim = false; ///< 100 Continue; its request's answer follows.
+        bool runsExclusively = false; ///< No other request may run concurrently.
+        bool isInterim = false;       ///< 100 Continue; the final response follows.
     };
     using ExchangePtr = std::shared_ptr<Exchange>;
 
     asio::awaitable<void> readLoop();
     asio::awaitable<void> runHandler(ExchangePtr exchange, HttpRequest request);
-    asio::awaitable<void> writeAnswers();
+    asio::awaitable<void> writeResponses();
     asio::awaitable<bool> write(Exchange &exchange, bool last);
     void parse();
     bool parseOne();
     bool checkHead();
-    void take(HttpRequest request);
-    bool mayRun(const HttpRequest &request) const;
+    void onRequest(HttpRequest request);
+    bool canRun(const HttpRequest &request) const;
     void dispatch(HttpRequest request);
-    void dispatchParked();
-    void refuse(HttpResponse response);
-    void answerNow(const ExchangePtr &exchange);
-    void readNoMore();
-    void onCallerGone();
-    void endAnswers();
+    void dispatchWaiting();
+    void reject(HttpResponse response);
+    void startWriting(const ExchangePtr &exchange);
+    void stopReading();
+    void onCallerDisconnected();
+    void shutdownSending();
     void close();
-    void watchSilence(milliseconds after);
-    void noteActive();
+    void startIdleTimer(milliseconds after);
+    void recordActivity();
     bool isIdle() const;
-    bool mayEndIdle() const;
+    bool canCloseIdle() const;
 
     std::shared_ptr<HttpServerState> server_;
     tcp::socket socket_;
-    asio::steady_timer silenceTimer_;
-    std::array<char, 8192> chunk_; ///< Of the read that is under way.
-    beast::flat_buffer buffer_;    ///< Read but not parsed.
+    asio::steady_timer idleTimer_;
+    std::array<char, 8192> chunk_; ///< Buffer of the current read.
+    beast::flat_buffer buffer_;    ///< Received but not parsed.
     std::optional<Parser> parser_;
-    std::optional<HttpRequest> parked_; ///< Read whole; waits until it may run.
-    std::deque<ExchangePtr> due_;       ///< In the order of their requests.
-    std::chrono::steady_clock::time_point activeAt_;
-    bool counted_ = false;  ///< The request that is being read counts as open.
-    bool reading_ = true;   ///< False: what comes is dropped.
-    bool writing_ = false;  ///< Invariant: at most one writer.
-    bool shutDown_ = false; ///< All answers are written; bytes are only drained.
+    std::optional<HttpRequest> waitingRequest_; ///< Complete; waits until it may run.
+    std::deque<ExchangePtr> pending_;           ///< In request order.
+    std::chrono::steady_clock::time_point lastActivity_;
+    bool countedAsOpen_ = false;   ///< Whether the request being read is counted in openRequests.
+    bool reading_ = true;          ///< False: received bytes are discarded.
+    bool writing_ = false;         ///< Invariant: at most one coroutine writes.
+    bool sendingShutDown_ = false; ///< All responses are sent; received bytes are discarded.
     bool closed_ = false;
 };
 
--- a/src/adapter/http/http_server.cpp
+++ b/src/adapter/http/http_server.cpp
@@ -1,4 +1,4 @@
-/** @file http_server.cpp An HTTP/1.1 server over Boost.Beast. */
+/** @file http_server.cpp HTTP/1.1 server over Boost.Beast. */
 
 #include "adapter/http/http_server.h"
 
@@ -44,8 +44,8 @@
 
 void HttpServer::closeIdle()
 {
-    state_->closed = true;
-    acceptWaiting();
+    state_->closingIdle = true;
+    acceptQueued();
     stop();
     const std::set<HttpConnection *> connections = state_->connections;
     for (HttpConnection *connection : connections) {
@@ -54,10 +54,11 @@
 }
 
 /**
- * With little processor time callers wait to be accepted; an acceptor that is closed resets them,
- * and with them what they have sent. One that has sent nothing yet is closed like any idle one.
+ * Accepts all connections in the listen queue. Under CPU pressure connections wait there; closing
+ * the acceptor would reset them and lose the requests already sent. A connection without a request
+ * is then closed like any other idle one.
  */
-void HttpServer::acceptWaiting()
+void HttpServer::acceptQueued()
 {
     beast::error_code error;
     acceptor_.non_blocking(true, error);
--- a/src/adapter/http/http_server.h
+++ b/src/adapter/http/http_server.h
@@ -1,4 +1,4 @@
-/** @file http_server.h An HTTP/1.1 server over Boost.Beast: bounded, keep-alive, whole answers. */
+/** @file http_server.h HTTP/1.1 server over Boost.Beast, with limits, keep-alive and draining. */
 
 #pragma once
 
@@ -11,14 +11,14 @@
 namespace wisteriahoist {
 
 /**
- * Accepts connections and answers each request through a handler. Bad input is answered with a
- * typed problem body (400, 413, 431). Runs on one io_context thread.
+ * Accepts connections and calls a handler for each request. Responds to malformed or too large
+ * requests with a problem body (400, 413, 431). Runs on one io_context thread.
  */
 class HttpServer : public std::enable_shared_from_this<HttpServer>
 {
 public:
     /**
-     * @param port TCP port; 0 takes an ephemeral one, see port().
+     * @param port TCP port; 0 selects an ephemeral one, see port().
      * @throws boost::system::system_error if the address cannot be bound.
      */
     HttpServer(asio::io_context &context, const std::string &ip, uint16_t port, HttpLimits limits,
@@ -29,34 +29,33 @@
     /** Starts accepting. @pre The object is owned by a shared_ptr. */
     void start();
 
-    /** Stops accepting; open connections finish the requests they are at and are then closed. */
+    /** Stops accepting; open connections finish their current requests and are then closed. */
     void stop();
 
-    /** From now on each connection ends with the answers that are due; new ones are still accepted.
-     */
-    void closeAfterResponses() { state_->closing = true; }
+    /** Closes each connection after its pending responses; new connections are still accepted. */
+    void closeAfterResponses() { state_->closingAfterResponses = true; }
 
     /**
-     * Stops accepting, and closes connections on which no request has begun to arrive; whoever has
-     * connected by then is accepted first.
+     * Stops accepting and closes connections on which no request has begun to arrive. Connections
+     * that wait in the listen queue are accepted first.
      */
     void closeIdle();
 
-    /** Takes over new bounds, for requests that are read from now on. */
+    /** Sets new limits, which apply to requests read from now on. */
     void setLimits(const HttpLimits &limits) { state_->limits = limits; }
 
     uint16_t port() const { return acceptor_.local_endpoint().port(); }
     size_t openConnections() const { return state_->connections.size(); }
 
-    /** @return Whether it accepts nobody any more and its last connection has ended. */
+    /** @return Whether the server has stopped accepting and its last connection has closed. */
     bool hasEnded() const { return state_->stopping && state_->connections.empty(); }
 
-    /** @return Requests that have begun to arrive and whose answer has not been written whole. */
+    /** @return Requests that have begun to arrive and whose response is not completely written. */
     size_t openRequests() const { return state_->openRequests.load(std::memory_order_relaxed); }
 
 private:
     asio::awaitable<void> acceptLoop();
-    void acceptWaiting();
+    void acceptQueued();
     void serve(tcp::socket socket);
 
     tcp::acceptor acceptor_;
--- a/src/adapter/http/http_type.h
+++ b/src/adapter/http/http_type.h
@@ -1,4 +1,4 @@
-/** @file http_type.h HTTP/1.1 message types and the problem body (RFC 9457) of every refusal. */
+/** @file http_type.h HTTP/1.1 message types and the problem body (RFC 9457) of error responses. */
 
 #pragma once
 
@@ -24,32 +24,33 @@
 using HttpRequest = http::request<http::string_body>;
 using HttpResponse = http::response<http::string_body>;
 
-/** Bounds of an HTTP/1.1 server. */
+/** Limits of an HTTP/1.1 server. */
 struct HttpLimits {
-    uint32_t headerBytes = 16 * 1024; ///< Beyond: 431.
-    uint64_t bodyBytes = 1024 * 1024; ///< Beyond: 413.
-    milliseconds idle{60000};         ///< A kept-alive connection without a request is closed.
-    size_t connections = 4096;        ///< Beyond: 503 and close.
+    uint32_t headerBytes = 16 * 1024; ///< Maximum size of the header section; larger: 431.
+    uint64_t bodyBytes = 1024 * 1024; ///< Maximum size of the body; larger: 413.
+    milliseconds idle{60000};         ///< Idle time after which a connection is closed.
+    size_t connections = 4096;        ///< Maximum number of connections; further ones are closed.
 };
 
-/** Answers one request; runs on the server's executor. */
+/** Handles one request; runs on the server's executor. */
 using HttpHandler = std::function<asio::awaitable<HttpResponse>(HttpRequest)>;
 
 /**
- * Tells a handler that its caller has closed the connection while it waits for the answer.
- * A caller that closes only its sending side counts as gone too: the two cannot be told apart.
+ * Notifies a request handler that the caller has closed the connection before the response. A
+ * caller that has closed only its sending side also counts as disconnected, because the two cases
+ * cannot be distinguished.
  */
 class DisconnectSignal
 {
 public:
-    bool isDisconnected() const { return gone_; }
+    bool isDisconnected() const { return disconnected_; }
 
-    /** Sets what to do when the caller goes; called at most once, on the server's thread. */
+    /** Sets the action to run on disconnect; called at most once, on the server's thread. */
     void onDisconnect(std::function<void()> action) { action_ = std::move(action); }
 
     void markDisconnected()
     {
-        gone_ = true;
+        disconnected_ = true;
         if (action_) {
             std::exchange(action_, nullptr)();
         }
@@ -57,22 +58,22 @@
 
 private:
     std::function<void()> action_;
-    bool gone_ = false;
+    bool disconnected_ = false;
 };
 
-/** Answers one request whose caller may go away meanwhile. */
+/** Handles one request and can react to a disconnect of the caller. */
 using CancellableHttpHandler = std::function<asio::awaitable<HttpResponse>(
         HttpRequest, std::shared_ptr<DisconnectSignal>)>;
 
-/** One refusal in the words of RFC 9457. */
+/** Problem details of an error response (RFC 9457). */
 struct Problem {
     http::status status = http::status::bad_request;
-    std::string_view type;      ///< Stable name; becomes the last part of the type URN.
-    std::string detail;         ///< For people.
-    milliseconds retryAfter{0}; ///< When to come back; 0: not said.
+    std::string_view type;      ///< Stable name; the last part of the type URN.
+    std::string detail;         ///< Human-readable description.
+    milliseconds retryAfter{0}; ///< Time to wait before a retry; 0: not stated.
 };
 
-/** @return A response with a JSON problem body; Retry-After is rounded up to whole seconds. */
+/** @return A response with a JSON problem body. Retry-After is rounded up to whole seconds. */
 HttpResponse makeProblemResponse(const Problem &problem);
 
 } // namespace wisteriahoist
--- a/src/adapter/http/request_protocol.h
+++ b/src/adapter/http/request_protocol.h
@@ -1,5 +1,5 @@
-/** @file request_protocol.h What callers, nodes and backend servers tell each other of a request in
- * status and headers.
+/** @file request_protocol.h Interface: request metadata in the status and headers exchanged with
+ * callers and backend servers.
  */
 
 #pragma once
@@ -12,32 +12,32 @@
 
 namespace wisteriahoist {
 
-/** What a caller says with its request. */
+/** Metadata of a caller's request. */
 struct RequestMetadata {
-    std::string attemptId;                ///< Names this attempt of this caller.
-    std::optional<milliseconds> timeLeft; ///< How long the caller waits.
+    std::string attemptId;                ///< Identifies this attempt of the caller.
+    std::optional<milliseconds> timeLeft; ///< Time until the caller's deadline.
     std::optional<ShardKey> shardKey;
 };
 
-/** What a backend server is told with a request. */
+/** Metadata sent to a backend server with a request. */
 struct BackendMetadata {
-    milliseconds timeLeft{0};  ///< It stops work then.
-    std::string backend;       ///< The life that is to run the request; another one refuses.
-    std::string callerService; ///< Service beside which the request was made.
+    milliseconds timeLeft{0}; ///< The backend server stops work after this time.
+    std::string backend;      ///< Incarnation that shall run the request; any other one rejects it.
+    std::string callerService; ///< Service local to the node at which the request was made.
 };
 
-/** What a backend server's answer shows. */
+/** Classification of a backend server's response. */
 enum class ResponseKind {
-    Complete,         ///< Its own whole answer, whatever the status.
-    NotExecuted,      ///< It says that it has not run the request.
-    WrongIncarnation, ///< Another life than the named one has the address; not run.
-    WrongRequest,     ///< It answers another request.
-    Unverified,       ///< A success without the mark that proves it.
+    Complete,         ///< Complete response to the request, with any status.
+    NotExecuted,      ///< The backend server states that it has not run the request.
+    WrongIncarnation, ///< Another incarnation uses the address and has not run the request.
+    WrongRequest,     ///< Response to another request.
+    Unverified,       ///< Success without the header that proves its origin.
 };
 
 /**
- * @return Whether callers read @p status as a promise that the request has not run and never will.
- *         A caller that has been promised so may repeat even a request that is not idempotent.
+ * @return Whether callers take @p status as a guarantee that the request was not and will not be
+ *         executed. A caller may then retry even a request that is not idempotent.
  */
 inline bool impliesNotExecuted(unsigned status)
 {
@@ -52,25 +52,26 @@
     }
 }
 
-/** Reads and writes the headers that callers and backend servers understand. */
+/** Reads and writes the headers exchanged with callers and backend servers. */
 class RequestProtocol
 {
 public:
     virtual ~RequestProtocol() = default;
 
-    /** @return BadArgument if the terms are missing or malformed. */
+    /** @return BadArgument if a header is missing or malformed. */
     virtual Result<RequestMetadata> readMetadata(const HttpRequest &request) const = 0;
 
-    /** Sets the headers for the backend server, whatever the caller had put there. */
-    virtual void setMetadata(HttpRequest &request, const BackendMetadata &terms) const = 0;
+    /** Sets the headers for the backend server; replaces any values set by the caller. */
+    virtual void setMetadata(HttpRequest &request, const BackendMetadata &metadata) const = 0;
 
+    /** @return The kind of @p response to the request attempt @p attemptId. */
     virtual ResponseKind classifyResponse(const HttpResponse &response,
                                           const std::string &attemptId) const = 0;
 
-    /** Tells the caller when to come back. */
+    /** Sets the time that the caller must wait before a retry. */
     virtual void setRetryAfter(HttpResponse &response, milliseconds wait) const = 0;
 
-    /** @return The life that an WrongIncarnation answer names; empty if none. */
+    /** @return The incarnation stated in a WrongIncarnation response; empty if none. */
     virtual std::string namedBackend(const HttpResponse &response) const = 0;
 };
 
--- a/src/adapter/http2/http2_session.cpp
+++ b/src/adapter/http2/http2_session.cpp
@@ -1,8 +1,8 @@
-/** @file http2_session.cpp One HTTP/2 connection between two nodes, over nghttp2 and Asio. */
+/** @file http2_session.cpp HTTP/2 connection between two nodes, over nghttp2 and Asio. */
 
 #include "adapter/http2/http2_session.h"
 
-#include "adapter/http2/silence_watch.h"
+#include "adapter/http2/keepalive_monitor.h"
 #include "adapter/http2/transport_bytes.h"
 
 #include <array>
@@ -20,14 +20,14 @@
 constexpr uint32_t MaxConcurrentStreams = 2048;
 constexpr uint32_t StreamWindowBytes = 1024 * 1024;
 constexpr int32_t ConnectionWindowBytes = 16 * 1024 * 1024;
-/** A message between two nodes is 0.5 to 2 KB. A fleet of 91 has 180 sessions in each node, so 32
- * KB for each were 6 of its 13 MB. */
+/** Messages between nodes have 0.5 to 2 KB. With 91 nodes each node has 180 sessions; 32 KB per
+ *  session would be 6 MB of the 13 MB that a node uses. */
 constexpr size_t ReadChunkBytes = 8 * 1024;
 constexpr size_t MaxMessageBytes = 17 * 1024 * 1024;
 
 nghttp2_nv makeHeader(std::string_view name, std::string_view value)
 {
-    // nghttp2 copies both unless told otherwise; its signature lacks the const.
+    // nghttp2 copies name and value without the NO_COPY flags; its signature lacks const.
     return {reinterpret_cast<uint8_t *>(const_cast<char *>(name.data())),
             reinterpret_cast<uint8_t *>(const_cast<char *>(value.data())), name.size(),
             value.size(), NGHTTP2_NV_FLAG_NONE};
@@ -35,7 +35,7 @@
 
 } // namespace
 
-/** The callbacks that nghttp2 makes; each hands over to the session. */
+/** Callbacks of nghttp2; each forwards to the session. */
 struct Http2Session::Callbacks {
     static Http2Session &self(void *userData) { return *static_cast<Http2Session *>(userData); }
 
@@ -45,7 +45,7 @@
     {
         const std::string_view headerName(reinterpret_cast<const char *>(name), nameLength);
         if (headerName == ":path") {
-            self(userData).calls_[frame->hd.stream_id].path.assign(
+            self(userData).streams_[frame->hd.stream_id].path.assign(
                     reinterpret_cast<const char *>(value), valueLength);
         }
         return 0;
@@ -54,9 +54,9 @@
     static int onDataChunk(nghttp2_session *, uint8_t, int32_t streamId, const uint8_t *data,
                            size_t length, void *userData)
     {
-        auto &calls = self(userData).calls_;
-        const auto found = calls.find(streamId);
-        if (found == calls.end()) {
+        auto &streams = self(userData).streams_;
+        const auto found = streams.find(streamId);
+        if (found == streams.end()) {
             return 0;
         }
         if (found->second.received.size() + length > MaxMessageBytes) {
@@ -85,9 +85,9 @@
     static ssize_t readBody(nghttp2_session *, int32_t streamId, uint8_t *buffer, size_t length,
                             uint32_t *flags, nghttp2_data_source *, void *userData)
     {
-        auto &calls = self(userData).calls_;
-        const auto found = calls.find(streamId);
-        if (found == calls.end()) {
+        auto &streams = self(userData).streams_;
+        const auto found = streams.find(streamId);
+        if (found == streams.end()) {
             return NGHTTP2_ERR_TEMPORAL_CALLBACK_FAILURE;
         }
         Stream &stream = found->second;
@@ -102,8 +102,8 @@
 };
 
 Http2Session::Http2Session(tcp::socket socket, Role role, PeerHandler handler,
-                           const std::shared_ptr<SilenceWatch> &silence)
-    : socket_(std::move(socket)), role_(role), handler_(std::move(handler)), silence_(silence)
+                           const std::shared_ptr<KeepaliveMonitor> &monitor)
+    : socket_(std::move(socket)), role_(role), handler_(std::move(handler)), monitor_(monitor)
 {
     nghttp2_session_callbacks *callbacks = nullptr;
     nghttp2_session_callbacks_new(&callbacks);
@@ -149,11 +149,12 @@
     open_ = false;
     beast::error_code ignored;
     socket_.close(ignored);
-    std::map<int32_t, Stream> calls = std::move(calls_);
-    calls_.clear();
-    for (auto &[streamId, stream] : calls) {
+    std::map<int32_t, Stream> streams = std::move(streams_);
+    streams_.clear();
+    for (auto &[streamId, stream] : streams) {
         if (stream.completion) {
-            stream.completion(Failure{FailureCode::Ambiguous, "connection lost"});
+            stream.completion(
+                    Failure{FailureCode::Ambiguous, "HTTP/2 connection closed before the reply"});
         }
     }
 }
@@ -161,7 +162,7 @@
 int32_t Http2Session::call(const std::string &path, std::string body, Completion completion)
 {
     if (!open_) {
-        completion(Failure{FailureCode::Unavailable, "connection closed"});
+        completion(Failure{FailureCode::Unavailable, "HTTP/2 connection is closed"});
         return -1;
     }
     const std::array<nghttp2_nv, 4> headers{
@@ -175,18 +176,18 @@
         completion(Failure{FailureCode::Unavailable, nghttp2_strerror(streamId)});
         return -1;
     }
-    Stream &stream = calls_[streamId];
+    Stream &stream = streams_[streamId];
     stream.toSend = std::move(body);
     stream.completion = std::move(completion);
-    watchSilence();
+    registerForMonitoring();
     flush();
     return streamId;
 }
 
 void Http2Session::cancel(int32_t streamId)
 {
-    const auto found = calls_.find(streamId);
-    if (found == calls_.end() || !open_) {
+    const auto found = streams_.find(streamId);
+    if (found == streams_.end() || !open_) {
         return;
     }
     found->second.completion = nullptr;
@@ -204,8 +205,8 @@
 
 void Http2Session::reply(int32_t streamId, std::string body)
 {
-    const auto found = calls_.find(streamId);
-    if (found == calls_.end() || !open_) {
+    const auto found = streams_.find(streamId);
+    if (found == streams_.end() || !open_) {
         return;
     }
     found->second.toSend = std::move(body);
@@ -218,8 +219,8 @@
 
 void Http2Session::onStreamEnd(int32_t streamId)
 {
-    const auto found = calls_.find(streamId);
-    if (found == calls_.end()) {
+    const auto found = streams_.find(streamId);
+    if (found == streams_.end()) {
         return;
     }
     found->second.ended = true;
@@ -230,27 +231,28 @@
             socket_.get_executor(),
             [self = shared_from_this(), streamId, path = std::move(found->second.path),
              body = std::move(found->second.received)]() mutable -> asio::awaitable<void> {
-                std::string answer = co_await self->handler_(std::move(path), std::move(body));
-                self->reply(streamId, std::move(answer));
+                std::string replyBody = co_await self->handler_(std::move(path), std::move(body));
+                self->reply(streamId, std::move(replyBody));
             },
             asio::detached);
 }
 
 void Http2Session::onStreamClose(int32_t streamId, uint32_t errorCode)
 {
-    const auto found = calls_.find(streamId);
-    if (found == calls_.end()) {
+    const auto found = streams_.find(streamId);
+    if (found == streams_.end()) {
         return;
     }
     Stream stream = std::move(found->second);
-    calls_.erase(found);
+    streams_.erase(found);
     if (!stream.completion) {
         return;
     }
     if (errorCode == NGHTTP2_NO_ERROR && stream.ended) {
         stream.completion(std::move(stream.received));
     } else if (errorCode == NGHTTP2_REFUSED_STREAM) {
-        stream.completion(Failure{FailureCode::Unavailable, "stream refused unprocessed"});
+        stream.completion(
+                Failure{FailureCode::Unavailable, "peer refused the stream without processing it"});
     } else {
         stream.completion(Failure{FailureCode::Ambiguous, nghttp2_http2_strerror(errorCode)});
     }
@@ -269,7 +271,7 @@
     if (writing_ || outgoing_.empty()) {
         return;
     }
-    sendNow();
+    writeAvailable();
     if (open_ && !outgoing_.empty()) {
         writing_ = true;
         asio::co_spawn(
@@ -278,8 +280,8 @@
     }
 }
 
-/** Hands over what the socket takes at once; nearly always that is all. */
-void Http2Session::sendNow()
+/** Writes what the socket accepts without blocking, which is nearly always everything. */
+void Http2Session::writeAvailable()
 {
     beast::error_code error;
     const size_t count = socket_.write_some(asio::buffer(outgoing_), error);
@@ -303,33 +305,33 @@
     writing_ = false;
 }
 
-void Http2Session::watchSilence()
+void Http2Session::registerForMonitoring()
 {
-    if (watched_) {
+    if (monitored_) {
         return;
     }
-    if (const std::shared_ptr<SilenceWatch> silence = silence_.lock()) {
-        watched_ = true;
-        silence->add(shared_from_this());
+    if (const std::shared_ptr<KeepaliveMonitor> monitor = monitor_.lock()) {
+        monitored_ = true;
+        monitor->add(shared_from_this());
     }
 }
 
-bool Http2Session::checkSilence(const SilenceLimits &limits)
+bool Http2Session::checkKeepalive(const KeepaliveLimits &limits)
 {
-    watched_ = open_ && !calls_.empty();
-    if (!watched_) {
+    monitored_ = open_ && !streams_.empty();
+    if (!monitored_) {
         return false;
     }
-    quietIntervals_ = framesReceived_ == framesSeen_ ? quietIntervals_ + 1 : 0;
-    framesSeen_ = framesReceived_;
-    if (quietIntervals_ == limits.beforePing) {
+    idleIntervals_ = framesReceived_ == framesAtLastCheck_ ? idleIntervals_ + 1 : 0;
+    framesAtLastCheck_ = framesReceived_;
+    if (idleIntervals_ == limits.pingAfter) {
         ping();
     }
-    if (quietIntervals_ >= limits.beforePing + limits.afterPing) {
-        watched_ = false;
+    if (idleIntervals_ >= limits.pingAfter + limits.closeAfter) {
+        monitored_ = false;
         close();
     }
-    return watched_;
+    return monitored_;
 }
 
 asio::awaitable<void> Http2Session::readLoop()
--- a/src/adapter/http2/http2_session.h
+++ b/src/adapter/http2/http2_session.h
@@ -1,4 +1,4 @@
-/** @file http2_session.h One HTTP/2 connection between two nodes, over nghttp2 and Asio. */
+/** @file http2_session.h HTTP/2 connection between two nodes, over nghttp2 and Asio. */
 
 #pragma once
 
@@ -13,16 +13,17 @@
 
 namespace wisteriahoist {
 
-class SilenceWatch;
-struct SilenceLimits;
+class KeepaliveMonitor;
+struct KeepaliveLimits;
 
-/** Answers one call from the other node: its path and its body in, the reply's body out. */
+/** Handles one call from a peer: receives path and body, returns the reply body. */
 using PeerHandler = std::function<asio::awaitable<std::string>(std::string path, std::string body)>;
 
 /**
- * A connection with many concurrent streams; each stream carries one call (a POST with a body)
- * and its reply. The same class serves both ends. Stream ids are never reused within a
- * connection, so a late reply cannot reach another call. Runs on one io_context thread.
+ * A connection with concurrent streams; each stream carries one call (a POST with a body) and its
+ * reply. The class implements both the client and the server role. Stream ids are never reused
+ * within a connection, so a late reply cannot be assigned to another call. Runs on one io_context
+ * thread.
  */
 class Http2Session : public std::enable_shared_from_this<Http2Session>
 {
@@ -30,10 +31,10 @@
     enum class Role { Client, Server };
     using Completion = std::function<void(Result<std::string>)>;
 
-    /** @param silence Ends the session when its calls get no answers; nullptr: nobody does. It is
-     *         its owner's; a session whose watch has gone goes on without. */
+    /** @param monitor Closes the session when its calls get no replies; nullptr: no monitoring. Not
+     *         owned; the session continues unmonitored after it has been destroyed. */
     Http2Session(tcp::socket socket, Role role, PeerHandler handler,
-                 const std::shared_ptr<SilenceWatch> &silence = nullptr);
+                 const std::shared_ptr<KeepaliveMonitor> &monitor = nullptr);
     ~Http2Session();
     Http2Session(const Http2Session &) = delete;
     Http2Session &operator=(const Http2Session &) = delete;
@@ -41,31 +42,31 @@
     /** Starts reading. @pre The object is owned by a shared_ptr. */
     void start();
 
-    /** Closes the connection; calls without a reply end as Ambiguous. */
+    /** Closes the connection; calls without a reply fail with Ambiguous. */
     void close();
 
     bool isOpen() const { return open_; }
-    size_t outstandingCalls() const { return calls_.size(); }
+    size_t outstandingCalls() const { return streams_.size(); }
 
     /**
-     * Sends one call. @p completion gets the reply's body, or Unavailable if the call was never
-     * processed by the other side, Ambiguous if it may have been.
-     * @return The stream id, for cancel(); negative if the call was refused at once.
+     * Sends one call. @p completion receives the reply body, Unavailable if the peer has not
+     * processed the call, or Ambiguous if it may have.
+     * @return The stream id, for cancel(); negative if the call failed immediately.
      */
     int32_t call(const std::string &path, std::string body, Completion completion);
 
-    /** Resets a stream; its completion is dropped, a late reply with it. */
+    /** Resets a stream without calling its completion; a late reply is discarded. */
     void cancel(int32_t streamId);
 
-    /** Sends a PING; the answer is a frame like any other. */
+    /** Sends a PING; its acknowledgement counts as a received frame. */
     void ping();
 
     /**
-     * Counts an interval without a frame while calls are under way: asks the other side for a sign
-     * of life, and closes the connection if none comes.
-     * @return Whether calls are still under way.
+     * Counts the intervals without a received frame while calls are outstanding. Sends a PING after
+     * the first limit and closes the connection after the second.
+     * @return Whether the session is open and calls are still outstanding.
      */
-    bool checkSilence(const SilenceLimits &limits);
+    bool checkKeepalive(const KeepaliveLimits &limits);
 
 private:
     struct Stream {
@@ -73,17 +74,17 @@
         std::string received;
         std::string toSend;
         size_t sent = 0;
-        Completion completion; ///< Client side only.
-        bool ended = false;    ///< The other side's END_STREAM has been seen.
+        Completion completion; ///< Client role only.
+        bool ended = false;    ///< END_STREAM of the peer has been received.
     };
     struct Callbacks;
     friend struct Callbacks;
 
     asio::awaitable<void> readLoop();
     asio::awaitable<void> writeLoop();
-    void watchSilence();
+    void registerForMonitoring();
     void flush();
-    void sendNow();
+    void writeAvailable();
     void onStreamEnd(int32_t streamId);
     void onStreamClose(int32_t streamId, uint32_t errorCode);
     void reply(int32_t streamId, std::string body);
@@ -91,16 +92,17 @@
     tcp::socket socket_;
     Role role_;
     PeerHandler handler_;
-    std::weak_ptr<SilenceWatch> silence_;
+    std::weak_ptr<KeepaliveMonitor> monitor_;
     nghttp2_session *session_ = nullptr;
-    std::map<int32_t, Stream> calls_; ///< Open streams by id, of either side.
-    std::string outgoing_;            ///< Bytes that the write loop sends next.
-    bool writing_ = false;            ///< Invariant: at most one write loop runs.
-    bool watched_ = false;            ///< Whether silence_ has this session among its own.
+    std::map<int32_t, Stream> streams_; ///< Open streams by id, in both roles.
+    std::string outgoing_;              ///< Serialized bytes that are not written yet.
+    bool writing_ = false;              ///< Invariant: at most one write loop runs.
+    bool monitored_ = false;            ///< Whether this session is registered with monitor_.
     bool open_ = true;
     uint64_t framesReceived_ = 0;
-    uint64_t framesSeen_ = 0;     ///< framesReceived_ at the last look.
-    uint32_t quietIntervals_ = 0; ///< In a row, with calls under way and without a frame.
+    uint64_t framesAtLastCheck_ = 0; ///< framesReceived_ at the last check.
+    uint32_t idleIntervals_
+            = 0; ///< Consecutive intervals without a frame while calls are outstanding.
 };
 
 } // namespace wisteriahoist
--- a/src/adapter/http2/peer_transport.cpp
+++ b/src/adapter/http2/peer_transport.cpp
@@ -51,7 +51,7 @@
                                                       std::move(handler));
         if (sessions_.size() >= pruneAt_) {
             std::erase_if(sessions_, [](const auto &weak) { return weak.expired(); });
-            pruneAt_ = std::max(LeastPruned, 2 * sessions_.size());
+            pruneAt_ = std::max(MinPruneCount, 2 * sessions_.size());
         }
         sessions_.push_back(session);
         session->start();
@@ -59,7 +59,7 @@
 }
 
 PeerCaller::PeerCaller(asio::io_context &context)
-    : context_(context), silence_(std::make_shared<SilenceWatch>(context.get_executor()))
+    : context_(context), monitor_(std::make_shared<KeepaliveMonitor>(context.get_executor()))
 { }
 
 void PeerCaller::closeAll()
@@ -80,23 +80,24 @@
     if (found != sessions_.end() && found->second->isOpen()) {
         co_return found->second;
     }
-    const auto begun = opening_.find(peer);
-    if (begun != opening_.end()) {
-        const std::shared_ptr<Opening> opening = begun->second;
+    const auto inProgress = attempts_.find(peer);
+    if (inProgress != attempts_.end()) {
+        const std::shared_ptr<ConnectAttempt> attempt = inProgress->second;
         beast::error_code ignored;
-        co_await opening->ended.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+        co_await attempt->ended.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         const auto opened = sessions_.find(peer);
         if (opened != sessions_.end() && opened->second->isOpen()) {
             co_return opened->second;
         }
-        co_return Failure{FailureCode::Unavailable, "connect: failed for another call"};
+        co_return Failure{FailureCode::Unavailable,
+                          "the connection attempt started by another call failed"};
     }
-    const auto opening = std::make_shared<Opening>(context_);
-    opening->ended.expires_after(timeout);
-    opening_[peer] = opening;
+    const auto attempt = std::make_shared<ConnectAttempt>(context_);
+    attempt->ended.expires_after(timeout);
+    attempts_[peer] = attempt;
     auto session = co_await open(peer, timeout);
-    opening_.erase(peer);
-    opening->ended.cancel();
+    attempts_.erase(peer);
+    attempt->ended.cancel();
     co_return session;
 }
 
@@ -105,7 +106,7 @@
 {
     if (sessions_.size() >= pruneAt_) {
         std::erase_if(sessions_, [](const auto &entry) { return !entry.second->isOpen(); });
-        pruneAt_ = std::max(LeastPruned, 2 * sessions_.size());
+        pruneAt_ = std::max(MinPruneCount, 2 * sessions_.size());
     }
     beast::tcp_stream stream(context_);
     stream.expires_after(timeout);
@@ -113,27 +114,28 @@
     const tcp::endpoint endpoint(asio::ip::make_address(peer.ip), peer.port);
     co_await stream.async_connect(endpoint, asio::redirect_error(asio::use_awaitable, error));
     if (error) {
-        co_return Failure{FailureCode::Unavailable, "connect: " + error.message()};
+        co_return Failure{FailureCode::Unavailable,
+                          "connecting to the peer failed: " + error.message()};
     }
     stream.expires_never();
     auto session = std::make_shared<Http2Session>(stream.release_socket(),
-                                                  Http2Session::Role::Client, nullptr, silence_);
+                                                  Http2Session::Role::Client, nullptr, monitor_);
     session->start();
     if (!keys_.empty()) {
-        const Result<void> greeted = co_await sayHello(session, timeout);
-        if (!greeted) {
+        const Result<void> handshake = co_await performHello(session, timeout);
+        if (!handshake) {
             ++helloFailures_;
             session->close();
-            // The caller's own request has not been sent, whatever became of the hello.
-            co_return Failure{FailureCode::Unavailable, greeted.assume_error().context};
+            // The call itself has not been sent, whatever the result of the handshake.
+            co_return Failure{FailureCode::Unavailable, handshake.assume_error().context};
         }
     }
     sessions_[peer] = session;
     co_return session;
 }
 
-asio::awaitable<Result<void>> PeerCaller::sayHello(std::shared_ptr<Http2Session> session,
-                                                   milliseconds timeout)
+asio::awaitable<Result<void>> PeerCaller::performHello(std::shared_ptr<Http2Session> session,
+                                                       milliseconds timeout)
 {
     HelloCaller hello(keys_);
     std::string request = hello.makeHello();
@@ -168,7 +170,7 @@
                                                              std::string path, std::string body,
                                                              milliseconds timeout)
 {
-    // The timer is the meeting point: it ends either by its time or by the completion's cancel.
+    // Waits on the timer, which ends at the timeout or is cancelled by the completion.
     auto timer = std::make_shared<asio::steady_timer>(context_, timeout);
     auto outcome = std::make_shared<std::optional<Result<std::string>>>();
     const int32_t streamId
@@ -184,7 +186,9 @@
         co_return std::move(outcome->value());
     }
     session->cancel(streamId);
-    co_return Failure{FailureCode::DeadlineExceeded, "no reply in time"};
+    co_return Failure{FailureCode::DeadlineExceeded, "no reply within "
+                                                             + std::to_string(timeout.count())
+                                                             + " ms; stream cancelled"};
 }
 
 } // namespace wisteriahoist
--- a/src/adapter/http2/peer_transport.h
+++ b/src/adapter/http2/peer_transport.h
@@ -1,10 +1,9 @@
-/** @file peer_transport.h Calls between nodes: a listener, and one HTTP/2 connection to each peer
- * used. */
+/** @file peer_transport.h Calls between nodes: a listener, and one HTTP/2 connection per peer. */
 
 #pragma once
 
 #include "adapter/auth/peer_hello.h"
-#include "adapter/http2/silence_watch.h"
+#include "adapter/http2/keepalive_monitor.h"
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,17 +11,17 @@
 
 namespace wisteriahoist {
 
-/** Where a peer listens. */
+/** Listen address of a peer. */
 struct PeerEndpoint {
     std::string ip;
     uint16_t port = 0;
     auto operator<=>(const PeerEndpoint &) const = default;
 };
 
-/** Fewer sessions than this are not searched for those that have ended. */
-inline constexpr size_t LeastPruned = 16;
+/** Number of sessions below which closed ones are not pruned. */
+inline constexpr size_t MinPruneCount = 16;
 
-/** Accepts connections from other nodes and answers their calls. */
+/** Accepts connections from other nodes and handles their calls. */
 class PeerListener : public std::enable_shared_from_this<PeerListener>
 {
 public:
@@ -31,10 +30,11 @@
     void start();
     void stop();
 
-    /** From now on a connection's calls are handled only after a hello. */
+    /** Requires a successful hello handshake on each new connection before its calls are handled.
+     */
     void requireHello(FleetKeys keys) { guard_ = std::make_shared<PeerGuard>(std::move(keys)); }
 
-    /** @return The refusals; nullptr if no hello is required. */
+    /** @return Counters of rejected peers; nullptr if no hello is required. */
     const AuthCounters *refusals() const { return guard_ ? &guard_->counters() : nullptr; }
 
     uint16_t port() const { return acceptor_.local_endpoint().port(); }
@@ -44,13 +44,13 @@
 
     tcp::acceptor acceptor_;
     PeerHandler handler_;
-    std::shared_ptr<PeerGuard> guard_; ///< Absent: peers need no key.
+    std::shared_ptr<PeerGuard> guard_; ///< nullptr: peers are not authenticated.
     std::vector<std::weak_ptr<Http2Session>> sessions_;
-    size_t pruneAt_ = LeastPruned; ///< Number of sessions at which ended ones are dropped.
+    size_t pruneAt_ = MinPruneCount; ///< Number of sessions at which closed ones are removed.
     bool stopping_ = false;
 };
 
-/** Makes calls to other nodes; opens connections when first needed and replaces lost ones. */
+/** Sends calls to other nodes. Opens connections on demand and replaces lost ones. */
 class PeerCaller
 {
 public:
@@ -58,34 +58,34 @@
 
     /**
      * Calls @p path at @p peer and waits at most @p timeout for the reply.
-     * @return The reply's body; Unavailable if the peer never processed the call; Ambiguous or
+     * @return The reply body; Unavailable if the peer has not processed the call; Ambiguous or
      *         DeadlineExceeded if it may have.
      */
     asio::awaitable<Result<std::string>> call(PeerEndpoint peer, std::string path, std::string body,
                                               milliseconds timeout);
 
-    /** Closes every connection. */
+    /** Closes all connections. */
     void closeAll();
 
-    /** From now on each connection begins with a hello. */
+    /** Sets the keys for the hello handshake at the start of each new connection. */
     void authenticateWith(FleetKeys keys) { keys_ = std::move(keys); }
 
-    /** Bounds the opening of a connection; without it, a call's own timeout does. */
+    /** Sets the connect timeout; without it, only the timeout of the call applies. */
     void limitConnect(milliseconds timeout) { connectTimeout_ = timeout; }
 
-    /** @return Connections that were given up at the hello, by either side. */
+    /** @return Number of connections that failed in the hello handshake. */
     uint64_t helloFailures() const { return helloFailures_; }
 
 private:
     asio::awaitable<Result<std::string>> callSession(std::shared_ptr<Http2Session> session,
                                                      std::string path, std::string body,
                                                      milliseconds timeout);
-    asio::awaitable<Result<void>> sayHello(std::shared_ptr<Http2Session> session,
-                                           milliseconds timeout);
-    /** A connection that is being opened; everyone who needs it waits for the same one. */
-    struct Opening {
-        explicit Opening(asio::io_context &context) : ended(context) { }
-        asio::steady_timer ended; ///< Cancelled when the attempt has ended.
+    asio::awaitable<Result<void>> performHello(std::shared_ptr<Http2Session> session,
+                                               milliseconds timeout);
+    /** A connection attempt in progress; all calls to the same peer wait for it. */
+    struct ConnectAttempt {
+        explicit ConnectAttempt(asio::io_context &context) : ended(context) { }
+        asio::steady_timer ended; ///< Cancelled when the attempt completes.
     };
 
     asio::awaitable<Result<std::shared_ptr<Http2Session>>> connect(const PeerEndpoint &peer,
@@ -94,13 +94,13 @@
                                                                 milliseconds timeout);
 
     asio::io_context &context_;
-    std::shared_ptr<SilenceWatch> silence_;
+    std::shared_ptr<KeepaliveMonitor> monitor_;
     std::map<PeerEndpoint, std::shared_ptr<Http2Session>>
-            sessions_;             ///< With keys_: each has said its hello.
-    size_t pruneAt_ = LeastPruned; ///< Number of sessions at which closed ones are dropped.
-    std::map<PeerEndpoint, std::shared_ptr<Opening>> opening_;
-    FleetKeys keys_;                 ///< The first signs; empty: no hello is said.
-    milliseconds connectTimeout_{0}; ///< 0: none of its own.
+            sessions_;               ///< If keys_ is set, all have completed the hello handshake.
+    size_t pruneAt_ = MinPruneCount; ///< Number of sessions at which closed ones are removed.
+    std::map<PeerEndpoint, std::shared_ptr<ConnectAttempt>> attempts_;
+    FleetKeys keys_;                 ///< The first key signs; empty: no handshake.
+    milliseconds connectTimeout_{0}; ///< 0: only the timeout of the call applies.
     uint64_t helloFailures_ = 0;
 };
 
--- a/src/adapter/http2/transport_bytes.h
+++ b/src/adapter/http2/transport_bytes.h
@@ -1,4 +1,4 @@
-/** @file transport_bytes.h How many bytes this process has exchanged with other nodes. */
+/** @file transport_bytes.h Counters of the bytes exchanged with other nodes. */
 
 #pragma once
 
@@ -7,14 +7,14 @@
 
 namespace wisteriahoist {
 
-/** Bytes of HTTP/2 frames sent on all connections to other nodes; TCP and IP not included. */
+/** @return Bytes of HTTP/2 frames sent on all connections to other nodes, without TCP and IP. */
 inline std::atomic<uint64_t> &peerBytesSent()
 {
     static std::atomic<uint64_t> count{0};
     return count;
 }
 
-/** The same for bytes received. */
+/** @return Bytes of HTTP/2 frames received from other nodes, without TCP and IP. */
 inline std::atomic<uint64_t> &peerBytesReceived()
 {
     static std::atomic<uint64_t> count{0};
--- a/src/adapter/log/event_log.cpp
+++ b/src/adapter/log/event_log.cpp
@@ -1,4 +1,4 @@
-/** @file event_log.cpp Structured log over Boost.Log. */
+/** @file event_log.cpp Structured logging over Boost.Log. */
 
 #include "adapter/log/event_log.h"
 
@@ -29,23 +29,24 @@
 
 constexpr size_t QueuedLines = 1024;
 /**
- * Lines that come within this time are written together. Written one by one, each of 30 to 60 a
- * second woke the writing thread and cost a system call of its own. A process that is killed loses
- * what it logged in this time.
+ * Lines logged within this time are written in one batch. At 30 to 60 lines per second, writing
+ * each line separately costs a thread wake-up and a system call per line. A process that is killed
+ * loses the lines of the current batch.
  */
-constexpr std::chrono::milliseconds BatchTime{100};
+constexpr std::chrono::milliseconds BatchInterval{100};
 
-// Lines are written by a thread of their own. A blocked standard error (a pipe nobody reads) would
-// otherwise stop the control duty and let the lease lapse; with the bound, lines are lost instead.
+// A separate thread writes the lines, from a bounded queue that drops lines when full. Otherwise a
+// blocked standard error (a pipe that is not read) would stop the control thread and the lease
+// would expire.
 using Backend = logging::sinks::text_ostream_backend;
 using Queue = logging::sinks::bounded_fifo_queue<QueuedLines, logging::sinks::drop_on_overflow>;
 using Sink = logging::sinks::asynchronous_sink<Backend, Queue>;
 
-std::atomic<LogSeverity> leastSeverity{LogSeverity::Info};
+std::atomic<LogSeverity> minSeverity{LogSeverity::Info};
 std::atomic<bool> outputPresent{false};
 boost::shared_ptr<Sink> sink; ///< Set and reset by LogOutput only.
 
-/** The thread that writes; it sleeps while nothing is logged. */
+/** Background thread that writes the queued lines; sleeps while the queue is empty. */
 class LineWriter
 {
 public:
@@ -55,22 +56,22 @@
         thread_ = std::thread([this]() { run(); });
     }
 
-    /** A line is in the queue. */
+    /** Wakes the thread after a line has been queued. */
     void wake()
     {
         if (!pending_.exchange(true)) {
             const std::lock_guard<std::mutex> lock(mutex_);
-            changed_.notify_one();
+            condition_.notify_one();
         }
     }
 
-    /** Writes what is queued. */
+    /** Writes the queued lines and joins the thread. */
     void stop()
     {
         {
             const std::lock_guard<std::mutex> lock(mutex_);
             stopping_ = true;
-            changed_.notify_one();
+            condition_.notify_one();
         }
         thread_.join();
     }
@@ -80,20 +81,20 @@
     {
         std::unique_lock<std::mutex> lock(mutex_);
         while (!stopping_) {
-            changed_.wait(lock, [this]() { return stopping_ || pending_; });
-            changed_.wait_for(lock, BatchTime, [this]() { return stopping_; });
+            condition_.wait(lock, [this]() { return stopping_ || pending_; });
+            condition_.wait_for(lock, BatchInterval, [this]() { return stopping_; });
             pending_ = false;
             lock.unlock();
             sink->flush();
             lock.lock();
         }
-        // A process may end before the thread has run at all.
+        // stop() may be called before the thread has run its first iteration.
         sink->flush();
     }
 
     std::thread thread_;
     std::mutex mutex_;
-    std::condition_variable changed_;
+    std::condition_variable condition_;
     std::atomic<bool> pending_{false};
     bool stopping_ = false; ///< Guarded by mutex_.
 };
@@ -103,9 +104,10 @@
 std::string formatTime(std::chrono::system_clock::time_point time)
 {
     const auto sinceEpoch = time.time_since_epoch();
-    const auto whole = std::chrono::duration_cast<std::chrono::seconds>(sinceEpoch);
-    const auto fraction = std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch - whole);
-    const std::time_t seconds = whole.count();
+    const auto wholeSeconds = std::chrono::duration_cast<std::chrono::seconds>(sinceEpoch);
+    const auto fraction
+            = std::chrono::duration_cast<std::chrono::microseconds>(sinceEpoch - wholeSeconds);
+    const std::time_t seconds = wholeSeconds.count();
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, 32> day{};
@@ -133,7 +135,7 @@
 void logEvent(LogEvent event, LogFields fields)
 {
     if (!outputPresent.load(std::memory_order_acquire)
-        || logEventSeverity(event) < leastSeverity.load(std::memory_order_relaxed)) {
+        || logEventSeverity(event) < minSeverity.load(std::memory_order_relaxed)) {
         return;
     }
     thread_local logging::sources::logger logger;
@@ -141,14 +143,14 @@
     writer.wake();
 }
 
-LogOutput::LogOutput(std::ostream &stream, LogSeverity least)
+LogOutput::LogOutput(std::ostream &stream, LogSeverity threshold)
 {
     auto backend = boost::make_shared<Backend>();
     backend->add_stream(boost::shared_ptr<std::ostream>(&stream, boost::null_deleter()));
     sink = boost::make_shared<Sink>(backend, logging::keywords::start_thread = false);
     sink->set_formatter(logging::expressions::stream << logging::expressions::smessage);
     logging::core::get()->add_sink(sink);
-    leastSeverity.store(least, std::memory_order_relaxed);
+    minSeverity.store(threshold, std::memory_order_relaxed);
     writer.start();
     outputPresent.store(true, std::memory_order_release);
 }
--- a/src/adapter/log/event_log.h
+++ b/src/adapter/log/event_log.h
@@ -1,4 +1,4 @@
-/** @file event_log.h Structured log: one JSON line for each change of state, over Boost.Log. */
+/** @file event_log.h Structured logging: one JSON line per event, over Boost.Log. */
 
 #pragma once
 
@@ -11,23 +11,23 @@
 namespace wisteriahoist {
 
 /**
- * Logs a change of state. May be called from any duty thread; it does not wait for the output: a
- * full queue drops the line.
+ * Logs an event. May be called from any thread and never blocks on the output: if the queue is full
+ * the line is dropped.
  */
 void logEvent(LogEvent event, LogFields fields = {});
 
-/** @return The line for an event: time, severity, event, then the fields in their order. */
+/** @return The JSON line of an event: time, severity, event, then @p fields in order. */
 std::string formatLogLine(LogEvent event, LogFields fields,
                           std::chrono::system_clock::time_point time);
 
-/** Writes log lines to a stream while it exists; without one, nothing is logged. */
+/** Writes log lines to a stream during its lifetime; without an instance, nothing is logged. */
 class LogOutput
 {
 public:
-    /** @param least Events below it are dropped. @pre @p stream outlives this object. */
-    LogOutput(std::ostream &stream, LogSeverity least);
+    /** @param threshold Minimum severity to log. @pre @p stream outlives this object. */
+    LogOutput(std::ostream &stream, LogSeverity threshold);
 
-    /** Writes what is queued and ends the writing thread. */
+    /** Writes the queued lines and stops the writer thread. */
     ~LogOutput();
     LogOutput(const LogOutput &) = delete;
     LogOutput &operator=(const LogOutput &) = delete;
--- a/src/adapter/log/line_budget.h
+++ b/src/adapter/log/log_rate_limiter.h
@@ -1,4 +1,6 @@
-/** @file line_budget.h Bounds the number of log lines, so that load does not become log volume. */
+/** @file log_rate_limiter.h Rate limiter for log lines, so that the log volume does not grow with
+ * load.
+ */
 
 #pragma once
 
@@ -9,16 +11,16 @@
 
 namespace wisteriahoist {
 
-/** A token bucket. Used by one thread. */
-class LineBudget
+/** Token bucket rate limiter. Used by one thread. */
+class LogRateLimiter
 {
 public:
-    /** @param perSecond Lines in the long run. @param burst Lines at once. */
-    LineBudget(double perSecond, double burst)
+    /** @param perSecond Sustained rate in lines per second. @param burst Maximum burst in lines. */
+    LogRateLimiter(double perSecond, double burst)
         : perSecond_(perSecond), burst_(burst), tokens_(burst)
     { }
 
-    /** @return Whether a line may be written now; if not, it counts as dropped. */
+    /** @return Whether a line may be written now; if false it is counted as dropped. */
     bool tryTake(TimePoint now)
     {
         if (filledAt_ != NeverTime) {
--- a/src/adapter/log/log_type.cpp
+++ b/src/adapter/log/log_type.cpp
@@ -1,4 +1,4 @@
-/** @file log_type.cpp Names and severities of the events. */
+/** @file log_type.cpp Names and severities of the log events. */
 
 #include "adapter/log/log_type.h"
 
@@ -76,7 +76,8 @@
     }
     return true;
 }
-static_assert(isTableInOrder(), "each event needs its row, in the enumeration's order");
+static_assert(isTableInOrder(),
+              "EventTable must have one row per LogEvent, in the order of the enumeration");
 
 constexpr std::array<std::string_view, 4> SeverityNames{"debug", "info", "warning", "error"};
 
--- a/src/adapter/log/log_type.h
+++ b/src/adapter/log/log_type.h
@@ -1,4 +1,4 @@
-/** @file log_type.h The events a node logs, their severities and fields. */
+/** @file log_type.h Log events, severities and fields. */
 
 #pragma once
 
@@ -12,22 +12,22 @@
 
 namespace wisteriahoist {
 
-/** How much an operator should care. */
+/** Severity of a log event. */
 enum class LogSeverity {
     Debug,
-    Info,    ///< An expected change of state.
-    Warning, ///< Something works less well than declared.
-    Error,   ///< Something that was asked for does not work.
+    Info,    ///< Expected change of state.
+    Warning, ///< Degraded operation.
+    Error,   ///< A requested function does not work.
 };
 
-/** Each change of state that is logged. A name and a severity for each stand in log_type.cpp. */
+/** Log events. Names and severities are in log_type.cpp. */
 enum class LogEvent {
     NodeStarted,
     NodeStopping,
     NodeStopped,
     TermWon,
     TermLost,
-    TermObserved, ///< Another node coordinates the cell.
+    TermObserved, ///< Another node is coordinator of the cell.
     CampaignLost,
     LeaseGained,
     LeaseLost,
@@ -36,42 +36,44 @@
     AssignmentWritten,
     AssignmentInForce,
     ConfigAccepted, ///< Written to the platform.
-    ConfigInForce,  ///< Taken over by this node.
-    ConfigRefused,  ///< Older than what is held, or malformed.
+    ConfigInForce,  ///< Applied by this node.
+    ConfigRefused,  ///< Older than the current configuration, or malformed.
     BackendAnnounced,
     BackendDraining,
     BackendSilent,
     DrainStarted,
     DrainFinished,
-    ObjectMalformed, ///< An object of the platform that the codec refuses.
+    ObjectMalformed, ///< The codec rejected an object read from the platform.
     PlatformUnavailable,
     PlatformBack,
-    PeerRefused, ///< A stranger's or an outdated credential.
+    PeerRefused, ///< Unknown or outdated credential of a peer.
     OperatorRefused,
     OperatorChange,
     TraceExportFailing,
     TraceExportBack,
-    RequestEnded,     ///< A caller was answered; one line for each request.
-    BackendChanged,   ///< State or life of the backend server beside the node.
-    ReportRefused,    ///< A heartbeat that can't be read, or names no instance to use.
-    GrantRefused,     ///< The backend server has seen a higher fence.
-    LeaseRevoked,     ///< This node has taken another one's lease away.
-    RangeLeaving,     ///< A range is being released for another holder.
-    RangeGivenOn,     ///< A range is about to go to another holder: on what proof.
-    RangesOffered,    ///< Ranges that the backend server did not hold are granted to it.
-    RangesChanging,   ///< Why ranges are about to be written to other holders; one line a cause.
-    RangesWritten,    ///< This node has changed the table of its service.
-    RangesNotWritten, ///< The change failed, or its outcome is not known.
-    RangesLeftOut,    ///< An answer to a heartbeat has no room for all that is to be held.
-    MemberPublished,  ///< This node has written what it is and what is beside it.
-    NodeFailed,       ///< An error that nothing handles; the process ends.
-    NodeFenced,       ///< A taker has asked this witness to answer a node no more.
-    WatchSilent,      ///< Other nodes have heard of changes that the own watch has not told.
-    FeederLost,       ///< The node that told what changes in the store does not any more.
-    StoreRelayed,     ///< The store is reached through another node.
+    RequestEnded,     ///< A response was sent to the caller; one line per request.
+    BackendChanged,   ///< The local backend server's state or incarnation has changed.
+    ReportRefused,    ///< A heartbeat is malformed or does not identify a usable instance.
+    GrantRefused,     ///< The backend server has seen a higher fencing token.
+    LeaseRevoked,     ///< This node has revoked the lease of another node.
+    RangeLeaving,     ///< A range is being released to another holder.
+    RangeGivenOn,     ///< A range is about to be assigned to another holder; logs the proof that
+                      ///< permits it.
+    RangesOffered,    ///< Ranges not yet held by the backend server are granted to it.
+    RangesChanging,   ///< Ranges are about to be assigned to other holders; one line per cause.
+    RangesWritten,    ///< This node has updated the range table of its service.
+    RangesNotWritten, ///< The update failed, or its outcome is unknown.
+    RangesLeftOut,    ///< A heartbeat response was too small for all ranges to be held.
+    MemberPublished,  ///< This node has written its member record, including the backend server.
+    NodeFailed,       ///< Unhandled error; the process terminates.
+    NodeFenced,   ///< At another node's request, this node as witness no longer answers the fenced
+                  ///< node.
+    WatchSilent,  ///< Other nodes know of changes that this node's watch has not delivered.
+    FeederLost,   ///< The node that forwarded store changes to this one has stopped doing so.
+    StoreRelayed, ///< The store is accessed through another node.
     SettingsReloaded,
-    SettingsRefused, ///< The settings file has changed for the worse; the old settings stay.
-    LinesDropped,    ///< Lines of an event that comes often were left out.
+    SettingsRefused, ///< The changed settings file is invalid; the old settings stay in force.
+    LinesDropped,    ///< Log lines of a frequent event were dropped by its rate limit.
     Last = LinesDropped,
 };
 
@@ -84,7 +86,7 @@
     LogField(std::string_view fieldName, T fieldValue) : name(fieldName), value(convert(fieldValue))
     { }
 
-    std::string_view name; ///< A literal.
+    std::string_view name; ///< Must refer to a string literal.
     LogValue value;
 
 private:
@@ -111,7 +113,7 @@
 LogSeverity logEventSeverity(LogEvent event);
 std::string_view logSeverityName(LogSeverity severity);
 
-/** @return The severity of that name: debug, info, warning or error. */
+/** @return The severity with the given name: debug, info, warning or error. */
 std::optional<LogSeverity> parseLogSeverity(std::string_view name);
 
 } // namespace wisteriahoist
--- a/src/adapter/log/rate_limited_event.cpp
+++ b/src/adapter/log/rate_limited_event.cpp
@@ -1,38 +1,38 @@
-/** @file rate_limited_event.cpp Counts the lines of one event that a budget leaves out. */
+/** @file rate_limited_event.cpp Rate limit for the log lines of one event. */
 
 #include "adapter/log/rate_limited_event.h"
 
 namespace wisteriahoist {
 
 namespace {
-/** While lines go on being dropped, each count is for so long, and comes besides the budget: taken
- *  from it, the counts would leave no room for the event's own lines. */
-constexpr milliseconds TellEvery{1000};
+/** Minimum interval between two lines that report dropped ones. These lines do not count against
+ *  the rate limit, since they would otherwise displace the event's own lines. */
+constexpr milliseconds MinReportInterval{1000};
 } // namespace
 
 bool RateLimitedEvent::tryTake(TimePoint now)
 {
     logDropped(now);
-    if (budget_.tryTake(now)) {
+    if (limiter_.tryTake(now)) {
         return true;
     }
-    if (droppingSince_ == NeverTime) {
-        droppingSince_ = now;
+    if (firstUnreportedAt_ == NeverTime) {
+        firstUnreportedAt_ = now;
     }
     return false;
 }
 
 void RateLimitedEvent::logDropped(TimePoint now)
 {
-    if (droppingSince_ == NeverTime || now - droppingSince_ < TellEvery) {
+    if (firstUnreportedAt_ == NeverTime || now - firstUnreportedAt_ < MinReportInterval) {
         return;
     }
-    const auto since = std::chrono::duration_cast<milliseconds>(now - droppingSince_);
+    const auto since = std::chrono::duration_cast<milliseconds>(now - firstUnreportedAt_);
     logEvent(LogEvent::LinesDropped, {{"of", std::string(logEventName(event_))},
-                                      {"lines", budget_.dropped() - told_},
+                                      {"lines", limiter_.dropped() - reported_},
                                       {"since_ms", since.count()}});
-    told_ = budget_.dropped();
-    droppingSince_ = NeverTime;
+    reported_ = limiter_.dropped();
+    firstUnreportedAt_ = NeverTime;
 }
 
 } // namespace wisteriahoist
--- a/src/adapter/log/rate_limited_event.h
+++ b/src/adapter/log/rate_limited_event.h
@@ -1,41 +1,40 @@
-/** @file rate_limited_event.h An event that may come often: so many lines a second, the rest is
- * counted.
- */
+/** @file rate_limited_event.h Rate limit for the log lines of one event. */
 
 #pragma once
 
 #include "adapter/log/event_log.h"
-#include "adapter/log/line_budget.h"
+#include "adapter/log/log_rate_limiter.h"
 
 namespace wisteriahoist {
 
 /**
- * Who reads the log later must know where lines are missing, so those that were dropped are counted
- * in a line of their own, at most one a second. Used by one thread.
+ * Limits the log lines of one frequent event. A reader of the log must see where lines are missing,
+ * so dropped lines are counted and reported in a separate line, at most one per second. Used by
+ * one thread.
  */
 class RateLimitedEvent
 {
 public:
-    /** @param perSecond Lines in the long run. @param burst Lines at once. */
+    /** @param perSecond Sustained rate in lines per second. @param burst Maximum burst in lines. */
     RateLimitedEvent(LogEvent event, double perSecond, double burst)
-        : event_(event), budget_(perSecond, burst)
+        : event_(event), limiter_(perSecond, burst)
     { }
 
-    /** @return Whether a line may be written now, with log(); if not, it counts as dropped. */
+    /** @return Whether a line may be written with log(); if false it is counted as dropped. */
     bool tryTake(TimePoint now);
 
     void log(LogFields fields) const { logEvent(event_, fields); }
 
-    /** Logs how many lines were dropped, if the first of them was a second ago. */
+    /** Logs the number of dropped lines if the first one is at least a second old. */
     void logDropped(TimePoint now);
 
-    uint64_t dropped() const { return budget_.dropped(); }
+    uint64_t dropped() const { return limiter_.dropped(); }
 
 private:
     LogEvent event_;
-    LineBudget budget_;
-    uint64_t told_ = 0;                   ///< Of the dropped lines.
-    TimePoint droppingSince_ = NeverTime; ///< First dropped line that is not told yet.
+    LogRateLimiter limiter_;
+    uint64_t reported_ = 0;                   ///< Dropped lines that have been reported.
+    TimePoint firstUnreportedAt_ = NeverTime; ///< Time of the first unreported dropped line.
 };
 
 } // namespace wisteriahoist
--- a/src/adapter/metrics/metered_platform_store.cpp
+++ b/src/adapter/metrics/metered_platform_store.cpp
@@ -1,4 +1,4 @@
-/** @file metered_platform_store.cpp Counts the calls to the platform. */
+/** @file metered_platform_store.cpp Platform store decorator with metrics. */
 
 #include "adapter/metrics/metered_platform_store.h"
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** @return Whether @p code is an answer of the platform rather than the lack of one. */
-bool isAnswer(FailureCode code)
+/** @return Whether @p code is a response of the platform, not the lack of one. */
+bool isResponse(FailureCode code)
 {
     return code == FailureCode::VersionConflict || code == FailureCode::NotFound
            || code == FailureCode::TooLarge || code == FailureCode::BadArgument;
@@ -21,13 +21,13 @@
     : calls(registry.addLabelledCounter("wisteriahoist_platform_calls_total",
                                         "Calls to the platform's object API.", "call")),
       failures(registry.addLabelledCounter("wisteriahoist_platform_failures_total",
-                                           "Calls to the platform that failed, by type.", "type")),
+                                           "Failed calls to the platform, by type.", "type")),
       bytesWritten(registry.addCounter("wisteriahoist_platform_written_bytes_total",
-                                       "Contents of the objects written to the platform.")),
+                                       "Bytes of object content written to the platform.")),
       bytesRead(registry.addCounter("wisteriahoist_platform_read_bytes_total",
-                                    "Contents of the objects read from the platform.")),
+                                    "Bytes of object content read from the platform.")),
       available(registry.addGauge("wisteriahoist_platform_available",
-                                  "1 if the latest call to the platform was answered."))
+                                  "1 if the platform answered the latest call."))
 {
     available.set(1);
 }
@@ -37,12 +37,12 @@
 { }
 
 template <typename T>
-void MeteredPlatformStore::account(const Result<T> &result)
+void MeteredPlatformStore::recordResult(const Result<T> &result)
 {
     if (!result) {
         metrics_.failures.add(failureName(result.assume_error().code));
     }
-    const bool answered = result || isAnswer(result.assume_error().code);
+    const bool answered = result || isResponse(result.assume_error().code);
     if (answered == available_) {
         return;
     }
@@ -56,9 +56,9 @@
     }
 }
 
-void MeteredPlatformStore::accountObject(const Result<VersionedObject> &result)
+void MeteredPlatformStore::recordObject(const Result<VersionedObject> &result)
 {
-    account(result);
+    recordResult(result);
     if (result) {
         metrics_.bytesRead.add(result.assume_value().content.size());
     }
@@ -68,7 +68,7 @@
 {
     metrics_.calls.add("read");
     Result<VersionedObject> result = co_await inner_.read(std::move(name));
-    accountObject(result);
+    recordObject(result);
     co_return result;
 }
 
@@ -79,7 +79,7 @@
     metrics_.bytesWritten.add(content.size());
     Result<ObjectVersion> result
             = co_await inner_.write(std::move(name), expected, std::move(content));
-    account(result);
+    recordResult(result);
     co_return result;
 }
 
@@ -88,7 +88,7 @@
 {
     metrics_.calls.add("remove");
     Result<ObjectVersion> result = co_await inner_.remove(std::move(name), expected);
-    account(result);
+    recordResult(result);
     co_return result;
 }
 
@@ -96,7 +96,7 @@
 {
     metrics_.calls.add("list");
     Result<std::vector<std::string>> result = co_await inner_.list(std::move(prefix));
-    account(result);
+    recordResult(result);
     co_return result;
 }
 
@@ -105,7 +105,7 @@
 {
     metrics_.calls.add("watch");
     Result<VersionedObject> result = co_await inner_.watch(std::move(name), known, wait);
-    accountObject(result);
+    recordObject(result);
     co_return result;
 }
 
--- a/src/adapter/metrics/metered_platform_store.h
+++ b/src/adapter/metrics/metered_platform_store.h
@@ -1,5 +1,5 @@
-/** @file metered_platform_store.h Counts the calls to the platform, and logs when it goes and comes
- * back.
+/** @file metered_platform_store.h Platform store decorator that counts calls and logs availability
+ * changes.
  */
 
 #pragma once
@@ -9,18 +9,18 @@
 
 namespace wisteriahoist {
 
-/** Metrics of the platform's use by this node. */
+/** Metrics of this node's platform calls. */
 struct PlatformMetrics {
     explicit PlatformMetrics(MetricRegistry &registry);
 
-    LabelledCounter &calls;    ///< By kind of call; a watch counts as one.
-    LabelledCounter &failures; ///< By type of failure.
-    Counter &bytesWritten;     ///< Contents of objects.
+    LabelledCounter &calls;    ///< By operation; a watch counts as one call.
+    LabelledCounter &failures; ///< By failure type.
+    Counter &bytesWritten;     ///< Object content only.
     Counter &bytesRead;
-    Gauge &available; ///< 1 if the latest call was answered.
+    Gauge &available; ///< 1 if the platform answered the latest call.
 };
 
-/** Passes each call on to another store and counts it. Runs on the control duty's thread. */
+/** Forwards each call to another store and counts it. Runs on the control thread. */
 class MeteredPlatformStore : public PlatformStore
 {
 public:
@@ -36,12 +36,12 @@
 
 private:
     template <typename T>
-    void account(const Result<T> &result);
-    void accountObject(const Result<VersionedObject> &result);
+    void recordResult(const Result<T> &result);
+    void recordObject(const Result<VersionedObject> &result);
 
     PlatformStore &inner_;
     PlatformMetrics &metrics_;
-    bool available_ = true; ///< The latest call was answered, if only by a refusal.
+    bool available_ = true; ///< Whether the platform answered the latest call, also with a failure.
 };
 
 } // namespace wisteriahoist
--- a/src/adapter/metrics/metric_registry.cpp
+++ b/src/adapter/metrics/metric_registry.cpp
@@ -1,4 +1,4 @@
-/** @file metric_registry.cpp Metrics by name, in the Prometheus text format. */
+/** @file metric_registry.cpp Registry of metrics, in the Prometheus text format. */
 
 #include "adapter/metrics/metric_registry.h"
 
@@ -67,14 +67,15 @@
     return escape(text, true);
 }
 
-void MetricRegistry::add(MetricHead head, Reader reader)
+void MetricRegistry::add(MetricDescriptor descriptor, Collector collector)
 {
     const auto found
-            = std::find_if(families_.begin(), families_.end(),
-                           [&head](const Family &family) { return family.head.name == head.name; });
+            = std::find_if(families_.begin(), families_.end(), [&descriptor](const Family &family) {
+                  return family.descriptor.name == descriptor.name;
+              });
     Family &family = found != families_.end() ? *found : families_.emplace_back();
-    family.head = std::move(head);
-    family.readers.push_back(std::move(reader));
+    family.descriptor = std::move(descriptor);
+    family.collectors.push_back(std::move(collector));
 }
 
 Counter &MetricRegistry::addCounter(const std::string &name, const std::string &help,
@@ -135,19 +136,19 @@
     Distribution &distribution = distributions_.emplace_back();
     add({name, help, MetricKind::Summary}, [&distribution](TimePoint now,
                                                            std::vector<Sample> &samples) {
-        const DistributionReading reading = distribution.read(now);
-        for (size_t index = 0; index < reading.quantiles.size(); ++index) {
+        const DistributionSnapshot snapshot = distribution.read(now);
+        for (size_t index = 0; index < snapshot.quantiles.size(); ++index) {
             samples.push_back({"",
-                               {{"quantile", formatValue(DistributionReading::Quantiles[index])}},
-                               reading.recent ? reading.quantiles[index] : std::nan("")});
+                               {{"quantile", formatValue(DistributionSnapshot::Quantiles[index])}},
+                               snapshot.recent ? snapshot.quantiles[index] : std::nan("")});
         }
-        samples.push_back({"_sum", {}, reading.sum});
-        samples.push_back({"_count", {}, static_cast<double>(reading.count)});
+        samples.push_back({"_sum", {}, snapshot.sum});
+        samples.push_back({"_count", {}, static_cast<double>(snapshot.count)});
     });
     add({name + "_max", help + " Maximum of the latest window.", MetricKind::Gauge},
         [&distribution](TimePoint now, std::vector<Sample> &samples) {
-            const DistributionReading reading = distribution.read(now);
-            samples.push_back({"", {}, reading.recent ? reading.max : std::nan("")});
+            const DistributionSnapshot snapshot = distribution.read(now);
+            samples.push_back({"", {}, snapshot.recent ? snapshot.max : std::nan("")});
         });
     add({name + "_per_second", help + " Values per second in the latest window.",
          MetricKind::Gauge},
@@ -157,11 +158,11 @@
     return distribution;
 }
 
-void MetricRegistry::addComputed(MetricHead head, MetricLabels labels,
+void MetricRegistry::addComputed(MetricDescriptor descriptor, MetricLabels labels,
                                  std::function<double(TimePoint)> read)
 {
-    add(std::move(head), [read = std::move(read),
-                          labels = std::move(labels)](TimePoint now, std::vector<Sample> &samples) {
+    add(std::move(descriptor), [read = std::move(read), labels = std::move(labels)](
+                                       TimePoint now, std::vector<Sample> &samples) {
         samples.push_back({"", labels, read(now)});
     });
 }
@@ -187,15 +188,16 @@
     std::vector<Sample> samples;
     for (const Family &family : families_) {
         samples.clear();
-        for (const Reader &reader : family.readers) {
-            reader(now, samples);
+        for (const Collector &collector : family.collectors) {
+            collector(now, samples);
         }
-        page += "# HELP " + family.head.name + " " + escapeHelp(family.head.help) + "\n";
-        page += "# TYPE " + family.head.name + " ";
-        page += kindName(family.head.kind);
+        page += "# HELP " + family.descriptor.name + " " + escapeHelp(family.descriptor.help)
+                + "\n";
+        page += "# TYPE " + family.descriptor.name + " ";
+        page += kindName(family.descriptor.kind);
         page += '\n';
         for (const Sample &sample : samples) {
-            page += formatSample(family.head.name, sample);
+            page += formatSample(family.descriptor.name, sample);
         }
     }
     return page;
--- a/src/adapter/metrics/metric_registry.h
+++ b/src/adapter/metrics/metric_registry.h
@@ -1,5 +1,4 @@
-/** @file metric_registry.h All metrics of a process by name, in the Prometheus text format 0.0.4.
- */
+/** @file metric_registry.h Registry of a process's metrics, in the Prometheus text format 0.0.4. */
 
 #pragma once
 
@@ -20,66 +19,69 @@
 
 using MetricLabels = std::vector<MetricLabel>;
 
-/** The type that the text format states. */
+/** Metric type in the text format. */
 enum class MetricKind { Counter, Gauge, Summary, Histogram };
 
-/** What a family is called and what it tells. */
-struct MetricHead {
-    std::string name; ///< With unit, and _total on a counter.
+/** Name, help text and type of a metric family. */
+struct MetricDescriptor {
+    std::string name; ///< Includes the unit; ends with _total for a counter.
     std::string help;
     MetricKind kind = MetricKind::Gauge;
 };
 
-/** Owns the metrics. Filled before the duties run; then only read, by render(). */
+/** Owns the metrics. Metrics are added before the duty threads start; later only render() is used.
+ */
 class MetricRegistry
 {
 public:
     Counter &addCounter(const std::string &name, const std::string &help, MetricLabels labels = {});
     Gauge &addGauge(const std::string &name, const std::string &help, MetricLabels labels = {});
 
-    /** A counter for each value of the label @p label. */
+    /** Adds a counter per value of the label @p label. */
     LabelledCounter &addLabelledCounter(const std::string &name, const std::string &help,
                                         const std::string &label);
 
-    /** Counts by upper bound, which add up over nodes. */
+    /** Adds a histogram; its buckets can be summed over nodes. */
     Histogram &addHistogram(const std::string &name, const std::string &help);
 
-    /** A summary, with NAME_max and NAME_per_second as gauges beside it. */
+    /** Adds a summary with the additional gauges NAME_max and NAME_per_second. */
     Distribution &addDistribution(const std::string &name, const std::string &help);
 
-    /** A value that is worked out when it is read. @pre @p read may be called by any thread. */
-    void addComputed(MetricHead head, MetricLabels labels, std::function<double(TimePoint)> read);
+    /** Adds a metric whose value is computed when the page is rendered. @pre @p read may be called
+     *  by any thread. */
+    void addComputed(MetricDescriptor descriptor, MetricLabels labels,
+                     std::function<double(TimePoint)> read);
 
-    /** @return The page for GET /metrics. */
+    /** @return The response body for GET /metrics. */
     std::string render(TimePoint now) const;
 
 private:
     struct Sample {
-        std::string suffix; ///< After the family's name.
+        std::string suffix; ///< Appended to the family name.
         MetricLabels labels;
         double value = 0;
     };
-    using Reader = std::function<void(TimePoint now, std::vector<Sample> &samples)>;
+    using Collector = std::function<void(TimePoint now, std::vector<Sample> &samples)>;
     struct Family {
-        MetricHead head;
-        std::vector<Reader> readers;
+        MetricDescriptor descriptor;
+        std::vector<Collector> collectors;
     };
 
-    void add(MetricHead head, Reader reader);
+    void add(MetricDescriptor descriptor, Collector collector);
     static std::string formatSample(const std::string &name, const Sample &sample);
 
-    std::deque<Counter> counters_; ///< Deques, since the references given out must stay valid.
+    std::deque<Counter> counters_; ///< Deques keep the returned references valid.
     std::deque<Gauge> gauges_;
     std::deque<LabelledCounter> labelled_;
     std::deque<Histogram> histograms_;
     std::deque<Distribution> distributions_;
-    std::vector<Family> families_; ///< Invariant: one for each name.
+    std::vector<Family> families_; ///< Invariant: one entry per name.
 };
 
-/** @return @p text with backslash and newline escaped, as in a HELP line. */
+/** @return @p text with backslash and newline escaped, for a HELP line. */
 std::string escapeHelp(const std::string &text);
 
-/** @return @p text with backslash, double quote and newline escaped, as in a label's value. */
+/** @return @p text with backslash, double quote and newline escaped, for a label value. */
 std::string escapeLabel(const std::string &text);
 
 } // namespace wisteriahoist
--- a/src/adapter/metrics/metric_type.cpp
+++ b/src/adapter/metrics/metric_type.cpp
@@ -1,4 +1,4 @@
-/** @file metric_type.cpp Counters and distributions. */
+/** @file metric_type.cpp Implements the labelled counter, the histogram and the distribution. */
 
 #include "adapter/metrics/metric_type.h"
 
@@ -6,8 +6,8 @@
 
 namespace {
 
-/** Below as many values the P-square markers are not set up yet: two per quantile and three. */
-constexpr size_t MinimumForQuantiles = 2 * DistributionReading::Quantiles.size() + 3;
+/** With fewer values the P-square markers are not initialized: two per quantile plus three. */
+constexpr size_t MinimumForQuantiles = 2 * DistributionSnapshot::Quantiles.size() + 3;
 
 } // namespace
 
@@ -37,7 +37,7 @@
 Distribution::Accumulator Distribution::makeAccumulator()
 {
     namespace tag = boost::accumulators::tag;
-    return Accumulator(tag::extended_p_square::probabilities = DistributionReading::Quantiles);
+    return Accumulator(tag::extended_p_square::probabilities = DistributionSnapshot::Quantiles);
 }
 
 void Distribution::observe(double value, TimePoint now)
@@ -65,7 +65,7 @@
     const double max = accumulators::max(accumulator_);
     const auto markers = accumulators::extended_p_square(accumulator_);
     for (size_t index = 0; index < quantiles_.size(); ++index) {
-        // With few values the maximum stands in: an upper bound is honest, a half-built marker not.
+        // With too few values the markers are undefined; report the maximum as an upper bound.
         quantiles_[index].set(
                 count < MinimumForQuantiles ? max : markers[static_cast<std::ptrdiff_t>(index)]);
     }
@@ -75,22 +75,22 @@
     publishedAt_.store(windowEnd.time_since_epoch().count(), std::memory_order_release);
 }
 
-DistributionReading Distribution::read(TimePoint now) const
+DistributionSnapshot Distribution::read(TimePoint now) const
 {
-    DistributionReading reading;
+    DistributionSnapshot snapshot;
     const TimePoint published(Duration(publishedAt_.load(std::memory_order_acquire)));
-    reading.count = count_.value();
-    reading.sum = sum_.value();
-    reading.recent = published != NeverTime && now - published <= 2 * window_;
-    if (!reading.recent) {
-        return reading;
+    snapshot.count = count_.value();
+    snapshot.sum = sum_.value();
+    snapshot.recent = published != NeverTime && now - published <= 2 * window_;
+    if (!snapshot.recent) {
+        return snapshot;
     }
     for (size_t index = 0; index < quantiles_.size(); ++index) {
-        reading.quantiles[index] = quantiles_[index].value();
+        snapshot.quantiles[index] = quantiles_[index].value();
     }
-    reading.max = max_.value();
-    reading.perSecond = perSecond_.value();
-    return reading;
+    snapshot.max = max_.value();
+    snapshot.perSecond = perSecond_.value();
+    return snapshot;
 }
 
 void Histogram::observe(double value)
--- a/src/adapter/metrics/metric_type.h
+++ b/src/adapter/metrics/metric_type.h
@@ -1,4 +1,5 @@
-/** @file metric_type.h Counters, gauges and distributions: written by a duty, read by another. */
+/** @file metric_type.h Counters, gauges and distributions, written and read by different threads.
+ */
 
 #pragma once
 
@@ -19,7 +20,7 @@
 
 namespace wisteriahoist {
 
-/** A count that only rises. Any thread may add and read; no order with other data is implied. */
+/** Monotonic counter. Any thread may add and read; does not order accesses to other data. */
 class Counter
 {
 public:
@@ -30,7 +31,7 @@
     std::atomic<uint64_t> value_{0};
 };
 
-/** The latest value of something. */
+/** Value that can rise and fall. Any thread may set, add and read. */
 class Gauge
 {
 public:
@@ -43,9 +44,9 @@
 };
 
 /**
- * One counter for each value of a label. The number of values is bounded, since a label taken from
- * outside would otherwise grow the page without end; what comes beyond is counted as "other".
- * One thread adds, any thread reads.
+ * One counter per value of a label. The number of values is limited, because labels from external
+ * input would otherwise let the metrics page grow without limit; further values are counted as
+ * "other". One thread adds, any thread reads.
  */
 class LabelledCounter
 {
@@ -54,7 +55,7 @@
 
     void add(std::string_view value);
 
-    /** Calls @p visit(label value, count) for each. */
+    /** Calls @p visit(label value, count) for each label value. */
     template <typename Visitor>
     void forEach(Visitor visit) const
     {
@@ -69,7 +70,7 @@
 
 private:
     struct Slot {
-        std::string label; ///< Invariant: not changed once used_ covers it.
+        std::string label; ///< Invariant: constant once used_ includes the slot.
         Counter count;
     };
 
@@ -78,33 +79,35 @@
     Counter other_;
 };
 
-/** Counts of values by upper bound, for latencies over a whole fleet: buckets add up. */
+/** Histogram of latencies; its buckets can be summed over the nodes of a fleet. */
 class Histogram
 {
 public:
-    /** Seconds; twice the bound before, from a hop's time to the longest timeouts. */
+    /** Upper bounds in seconds; each about twice the previous one, from the latency of one hop to
+     *  the longest timeouts. */
     static constexpr std::array<double, 12> Bounds{0.002, 0.005, 0.01, 0.025, 0.05, 0.1,
                                                    0.2,   0.4,   0.8,  1.6,   3.2,  6.4};
 
     void observe(double value);
 
-    /** @return Values up to Bounds[index], or all of them for index == Bounds.size(). */
+    /** @return Number of values up to Bounds[index], or of all values if index == Bounds.size(). */
     uint64_t countUpTo(size_t index) const;
 
     double sum() const { return sum_.value(); }
 
 private:
-    std::array<Counter, Bounds.size() + 1> buckets_; ///< By smallest bound; the last is above all.
+    std::array<Counter, Bounds.size() + 1>
+            buckets_; ///< By bound, not cumulative; the last one is +Inf.
     Gauge sum_;
 };
 
-/** What a distribution says of its latest whole window. */
-struct DistributionReading {
+/** Snapshot of a distribution over its latest complete window. */
+struct DistributionSnapshot {
     static constexpr std::array<double, 3> Quantiles{0.5, 0.9, 0.99};
 
-    uint64_t count = 0;  ///< Since the start.
-    double sum = 0;      ///< Since the start.
-    bool recent = false; ///< The values below are of use.
+    uint64_t count = 0;  ///< Number of values since process start.
+    double sum = 0;      ///< Sum of values since process start.
+    bool recent = false; ///< Whether the following values are valid.
     std::array<double, Quantiles.size()> quantiles{};
     double max = 0;
     double perSecond = 0;
@@ -112,8 +115,8 @@
 
 /**
  * Quantiles (P-square), maximum and rate over windows of a fixed length, by Boost.Accumulators.
- * One thread observes; it publishes plain atomics, so that a reader never makes it wait. A reader
- * may see the atomics of two neighbouring windows mixed, which a graph does not show.
+ * One thread observes and publishes atomics, so that readers never block it. A reader may
+ * see a mix of values of two consecutive windows, which is not noticeable in a graph.
  */
 class Distribution
 {
@@ -123,8 +126,9 @@
     /** Adds one value. @pre Always called by the same thread. */
     void observe(double value, TimePoint now);
 
-    /** @return The latest whole window; not recent if that ended more than two windows ago. */
-    DistributionReading read(TimePoint now) const;
+    /** @return Snapshot of the latest complete window; not recent if it ended more than two window
+     *  lengths ago. */
+    DistributionSnapshot read(TimePoint now) const;
 
 private:
     using Accumulator = boost::accumulators::accumulator_set<
@@ -136,14 +140,15 @@
     void publish(TimePoint windowEnd);
 
     const Duration window_;
-    Accumulator accumulator_; ///< Observing thread only.
+    Accumulator accumulator_; ///< Used only by the observing thread.
     TimePoint windowStart_ = NeverTime;
     Counter count_;
     Gauge sum_;
     Gauge max_;
     Gauge perSecond_;
-    std::array<Gauge, DistributionReading::Quantiles.size()> quantiles_;
-    std::atomic<int64_t> publishedAt_; ///< Nanoseconds on the clock; release after the others.
+    std::array<Gauge, DistributionSnapshot::Quantiles.size()> quantiles_;
+    std::atomic<int64_t>
+            publishedAt_; ///< Nanoseconds of TimePoint; stored with release after the others.
 };
 
 } // namespace wisteriahoist
--- a/src/adapter/random/mt_random_source.h
+++ b/src/adapter/random/mt_random_source.h
@@ -1,4 +1,4 @@
-/** @file mt_random_source.h Random numbers from std::mt19937_64, seeded by the system. */
+/** @file mt_random_source.h Random source over std::mt19937_64, seeded from std::random_device. */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** For identifiers; not for secrets. */
+/** Generates random numbers for identifiers. Not cryptographically secure; not for secrets. */
 class MtRandomSource : public RandomSource
 {
 public:
--- a/src/adapter/trace/otlp_encoder.cpp
+++ b/src/adapter/trace/otlp_encoder.cpp
@@ -1,4 +1,4 @@
-/** @file otlp_encoder.cpp Spans in the JSON form of OTLP/HTTP. */
+/** @file otlp_encoder.cpp Encodes spans as OTLP/HTTP JSON. */
 
 #include "adapter/trace/otlp_encoder.h"
 
@@ -40,7 +40,8 @@
     return attribute;
 }
 
-/** @return Nanoseconds since 1970 as a string: JSON's numbers cannot hold them exactly. */
+/** @return Unix time in nanoseconds, as a string because JSON numbers cannot represent it exactly.
+ */
 std::string formatTime(std::chrono::system_clock::time_point bootAt, TimePoint time)
 {
     const Duration sinceEpoch = bootAt.time_since_epoch() + time.time_since_epoch();
--- a/src/adapter/trace/otlp_encoder.h
+++ b/src/adapter/trace/otlp_encoder.h
@@ -1,4 +1,4 @@
-/** @file otlp_encoder.h Spans in the JSON form of OTLP/HTTP (ExportTraceServiceRequest). */
+/** @file otlp_encoder.h Encodes spans as OTLP/HTTP JSON (ExportTraceServiceRequest). */
 
 #pragma once
 
@@ -9,17 +9,17 @@
 
 namespace wisteriahoist {
 
-/** The process that the spans come from. */
+/** Resource attributes: the process that produces the spans. */
 struct SpanResource {
     NodeId node;
     std::string failureDomain;
     std::string build;
-    std::chrono::system_clock::time_point bootAt; ///< Wall time at the clock's origin.
+    std::chrono::system_clock::time_point bootAt; ///< Wall-clock time at the origin of TimePoint.
 };
 
 std::string_view spanStepName(SpanStep step);
 
-/** @return The body of a POST to /v1/traces: ids in hexadecimal, times as strings. */
+/** @return The body of a POST to /v1/traces, with ids in hexadecimal and times as strings. */
 std::string encodeOtlp(const SpanResource &resource, const std::vector<Span> &spans);
 
 } // namespace wisteriahoist
--- a/src/adapter/trace/span_sink.cpp
+++ b/src/adapter/trace/span_sink.cpp
@@ -1,4 +1,4 @@
-/** @file span_sink.cpp A collector over HTTP, or a file. */
+/** @file span_sink.cpp Span sinks: a collector over HTTP, or a file. */
 
 #include "adapter/trace/span_sink.h"
 
@@ -22,9 +22,9 @@
         HttpRequest request(http::verb::post, "/v1/traces", 11);
         request.set(http::field::content_type, "application/json");
         request.body() = std::move(batch);
-        const Result<HttpResponse> answer
+        const Result<HttpResponse> response
                 = co_await client_.exchange(std::move(request), ExportTimeout);
-        co_return answer &&http::to_status_class(answer.assume_value().result())
+        co_return response &&http::to_status_class(response.assume_value().result())
                 == http::status_class::successful;
     }
 
--- a/src/adapter/trace/span_sink.h
+++ b/src/adapter/trace/span_sink.h
@@ -1,4 +1,4 @@
-/** @file span_sink.h Where batches of spans go: a collector over HTTP, or a file. */
+/** @file span_sink.h Interface: destination of exported spans, a collector over HTTP or a file. */
 
 #pragma once
 
@@ -10,17 +10,17 @@
 
 namespace wisteriahoist {
 
-/** Takes one encoded batch at a time. Runs on the exporter's thread. */
+/** Writes encoded batches, one at a time. Runs on the exporter's thread. */
 class SpanSink
 {
 public:
     virtual ~SpanSink() = default;
 
-    /** @return Whether the batch was taken over. */
+    /** @return Whether the batch was accepted. */
     virtual asio::awaitable<bool> write(std::string batch) = 0;
 };
 
-/** @return The sink that @p settings name. @pre settings.isEnabled() */
+/** @return The sink selected by @p settings. @pre settings.isEnabled() */
 std::unique_ptr<SpanSink> makeSpanSink(const TraceSettings &settings,
                                        asio::any_io_executor executor);
 
--- a/src/adapter/trace/span_type.h
+++ b/src/adapter/trace/span_type.h
@@ -1,4 +1,4 @@
-/** @file span_type.h One step of a request, and the bounded ring to the exporter. */
+/** @file span_type.h Spans of a request and the ring buffer to the exporter. */
 
 #pragma once
 
@@ -11,20 +11,20 @@
 
 namespace wisteriahoist {
 
-/** The steps of a request that get a span. */
+/** Steps of a request that are recorded as spans. */
 enum class SpanStep {
-    Ingress, ///< From the caller's whole request to the whole answer.
-    Queue,   ///< Waiting for a slot.
-    Hop,     ///< On its way to another node and back.
-    Gate,    ///< From its arrival at the owner gate to the gate's answer.
-    Backend, ///< At the backend server.
+    Ingress, ///< From the complete request of the caller to the complete response.
+    Queue,   ///< Waiting in the admission queue.
+    Hop,     ///< Forwarded to another node, until its reply.
+    Gate,    ///< From arrival at the owner's gate to the gate's reply.
+    Backend, ///< Processing by the backend server.
 };
 
-/** One finished step. */
+/** A finished span. */
 struct Span {
     SpanStep step = SpanStep::Ingress;
-    TraceContext context; ///< Its own span id.
-    uint64_t parent = 0;  ///< 0: the trace begins here.
+    TraceContext context; ///< Trace id and the id of this span.
+    uint64_t parent = 0;  ///< Span id of the parent; 0: root span.
     TimePoint start;
     TimePoint end;
     std::string service;
@@ -32,7 +32,8 @@
     bool failed = false;
 };
 
-/** From one duty to the exporter. A full ring drops the span, so that no request waits for it. */
+/** Single-producer, single-consumer ring buffer from one duty thread to the exporter. Drops spans
+ *  when full, so that no request waits for the exporter. */
 class SpanRing
 {
 public:
@@ -40,7 +41,7 @@
 
     explicit SpanRing(Counter &dropped) : dropped_(dropped), spans_(Capacity) { }
 
-    /** Hands @p span over if its trace is sampled. Producing duty's thread. */
+    /** Adds @p span if its trace is sampled. Called by the producer thread. */
     void push(const Span &span)
     {
         if (span.context.sampled && !spans_.push(span)) {
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Takes the oldest span. Exporter's thread. @return Whether there was one. */
+    /** Removes the oldest span. Called by the exporter thread. @return Whether there was one. */
     bool pop(Span &span) { return spans_.pop(span); }
 
 private:
--- a/src/adapter/trace/trace_context.cpp
+++ b/src/adapter/trace/trace_context.cpp
@@ -1,4 +1,4 @@
-/** @file trace_context.cpp The W3C trace context. */
+/** @file trace_context.cpp W3C trace context: parsing, formatting and sampling. */
 
 #include "adapter/trace/trace_context.h"
 
@@ -10,16 +10,16 @@
 namespace {
 
 // version "-" trace-id "-" parent-id "-" trace-flags
-constexpr size_t VersionAt = 0;
-constexpr size_t TraceAt = 3;
-constexpr size_t SpanAt = 36;
-constexpr size_t FlagsAt = 53;
-constexpr size_t Length = 55;
-constexpr size_t WordDigits = 16;
+constexpr size_t VersionOffset = 0;
+constexpr size_t TraceIdOffset = 3;
+constexpr size_t SpanIdOffset = 36;
+constexpr size_t FlagsOffset = 53;
+constexpr size_t TraceparentLength = 55;
+constexpr size_t DigitsPerWord = 16;
 constexpr uint64_t SampledFlag = 1;
 constexpr uint64_t InvalidVersion = 0xff;
 
-/** @return The number in @p digits; nothing unless each is a lower-case hexadecimal digit. */
+/** @return The value of @p digits; nullopt unless all are lower-case hexadecimal digits. */
 std::optional<uint64_t> parseHex(std::string_view digits)
 {
     uint64_t number = 0;
@@ -39,24 +39,26 @@
 
 std::optional<TraceContext> parseTraceparent(std::string_view text)
 {
-    if (text.size() < Length) {
+    if (text.size() < TraceparentLength) {
         return std::nullopt;
     }
-    const std::optional<uint64_t> version = parseHex(text.substr(VersionAt, 2));
+    const std::optional<uint64_t> version = parseHex(text.substr(VersionOffset, 2));
     if (!version || *version == InvalidVersion) {
         return std::nullopt;
     }
-    // A later version may append fields; version 00 has none.
-    const bool tooLong = text.size() > Length && (*version == 0 || text[Length] != '-');
-    const bool separated
-            = text[TraceAt - 1] == '-' && text[SpanAt - 1] == '-' && text[FlagsAt - 1] == '-';
+    // Only versions above 00 may have further fields.
+    const bool tooLong
+            = text.size() > TraceparentLength && (*version == 0 || text[TraceparentLength] != '-');
+    const bool separated = text[TraceIdOffset - 1] == '-' && text[SpanIdOffset - 1] == '-'
+                           && text[FlagsOffset - 1] == '-';
     if (tooLong || !separated) {
         return std::nullopt;
     }
-    const std::optional<uint64_t> high = parseHex(text.substr(TraceAt, WordDigits));
-    const std::optional<uint64_t> low = parseHex(text.substr(TraceAt + WordDigits, WordDigits));
-    const std::optional<uint64_t> span = parseHex(text.substr(SpanAt, WordDigits));
-    const std::optional<uint64_t> flags = parseHex(text.substr(FlagsAt, 2));
+    const std::optional<uint64_t> high = parseHex(text.substr(TraceIdOffset, DigitsPerWord));
+    const std::optional<uint64_t> low
+            = parseHex(text.substr(TraceIdOffset + DigitsPerWord, DigitsPerWord));
+    const std::optional<uint64_t> span = parseHex(text.substr(SpanIdOffset, DigitsPerWord));
+    const std::optional<uint64_t> flags = parseHex(text.substr(FlagsOffset, 2));
     if (!high || !low || !span || !flags || *span == 0 || (*high == 0 && *low == 0)) {
         return std::nullopt;
     }
@@ -66,8 +68,8 @@
 std::string formatSpanId(uint64_t id)
 {
     constexpr std::string_view Digits = "0123456789abcdef";
-    std::string text(WordDigits, '0');
-    for (size_t index = WordDigits; index > 0; --index, id /= 16) {
+    std::string text(DigitsPerWord, '0');
+    for (size_t index = DigitsPerWord; index > 0; --index, id /= 16) {
         text[index - 1] = Digits[id % 16];
     }
     return text;
@@ -84,8 +86,8 @@
            + (context.sampled ? "-01" : "-00");
 }
 
-TraceSampler::TraceSampler(RandomSource &random, double share)
-    : random_(random), share_(std::clamp(share, 0.0, 1.0))
+TraceSampler::TraceSampler(RandomSource &random, double ratio)
+    : random_(random), sampleRatio_(std::clamp(ratio, 0.0, 1.0))
 { }
 
 uint64_t TraceSampler::makeSpanId()
@@ -105,7 +107,7 @@
     constexpr double Range = 18446744073709551616.0; // 2^64
     TraceContext context;
     context.trace = {random_.next(), makeSpanId()};
-    context.sampled = static_cast<double>(random_.next()) < share_ * Range;
+    context.sampled = static_cast<double>(random_.next()) < sampleRatio_ * Range;
     return context;
 }
 
--- a/src/adapter/trace/trace_context.h
+++ b/src/adapter/trace/trace_context.h
@@ -1,4 +1,4 @@
-/** @file trace_context.h The W3C trace context that a request carries (header traceparent). */
+/** @file trace_context.h W3C trace context of a request (header traceparent). */
 
 #pragma once
 
@@ -12,28 +12,28 @@
 
 inline constexpr std::string_view TraceparentHeader = "traceparent";
 
-/** 16 bytes that name a trace. Invariant: not all zero. */
+/** Trace id of 16 bytes. Invariant: not all zero. */
 struct TraceId {
     uint64_t high = 0;
     uint64_t low = 0;
     bool operator==(const TraceId &) const = default;
 };
 
-/** Which trace a request belongs to, and the span that it comes from. */
+/** Trace of a request and its parent span. */
 struct TraceContext {
     TraceId trace;
-    uint64_t span = 0;    ///< 0: no span yet, a trace that begins here.
-    bool sampled = false; ///< The flag that every node honours.
+    uint64_t span = 0;    ///< 0: no parent; the trace starts here.
+    bool sampled = false; ///< Sampled flag; all nodes follow it.
     bool operator==(const TraceContext &) const = default;
 };
 
 /**
- * Parses a traceparent header of version 00, or of a later version as far as 00 goes.
- * @return Nothing if it is malformed; the request then begins a trace of its own.
+ * Parses a traceparent header of version 00, or the version 00 fields of a later version.
+ * @return nullopt if it is malformed; the request then starts a new trace.
  */
 std::optional<TraceContext> parseTraceparent(std::string_view text);
 
-/** @return The header's value, version 00. @pre The ids are not zero. */
+/** @return The header value in version 00. @pre The ids are not zero. */
 std::string formatTraceparent(const TraceContext &context);
 
 /** @return 32 lower-case hexadecimal digits. */
@@ -42,16 +42,17 @@
 /** @return 16 lower-case hexadecimal digits. */
 std::string formatSpanId(uint64_t id);
 
-/** Decides which traces are recorded, and makes ids. Used by one duty's thread. */
+/** Decides which traces are sampled and generates span ids. Used by one thread. */
 class TraceSampler
 {
 public:
-    /** @param share Of the requests without a traceparent, from 0 to 1. */
-    TraceSampler(RandomSource &random, double share);
+    /** @param ratio Fraction of the requests without a traceparent to sample, from 0 to 1. */
+    TraceSampler(RandomSource &random, double ratio);
 
     /**
      * @param header The incoming traceparent; empty if absent.
-     * @return The caller's context if there is one, its flag unchanged; else a new trace.
+     * @return The caller's context with unchanged sampled flag if @p header is valid; otherwise a
+     *         new trace.
      */
     TraceContext begin(std::string_view header);
 
@@ -60,7 +61,7 @@
 
 private:
     RandomSource &random_;
-    double share_;
+    double sampleRatio_;
 };
 
 } // namespace wisteriahoist
--- a/src/adapter/trace/trace_settings.h
+++ b/src/adapter/trace/trace_settings.h
@@ -1,4 +1,4 @@
-/** @file trace_settings.h Which requests are traced, and where their spans go. */
+/** @file trace_settings.h Settings of trace sampling and export. */
 
 #pragma once
 
@@ -7,12 +7,13 @@
 
 namespace wisteriahoist {
 
-/** Address and file both empty: nothing is recorded, contexts are still passed on. */
+/** If address and file are both empty, no spans are recorded; trace contexts are still propagated.
+ */
 struct TraceSettings {
-    double sampleRatio = 0; ///< Of the requests that come without a traceparent, from 0 to 1.
-    std::string otlpIp;     ///< Collector's IP number; empty: none.
+    double sampleRatio = 0; ///< Fraction of the requests without a traceparent, from 0 to 1.
+    std::string otlpIp;     ///< IP address of the collector; empty: none.
     uint16_t otlpPort = 0;
-    std::string file; ///< One batch a line; empty: none.
+    std::string file; ///< Output file, one batch per line; empty: none.
 
     bool isEnabled() const { return !otlpIp.empty() || !file.empty(); }
 };
--- a/src/core/backend_incarnation.h
+++ b/src/core/backend_incarnation.h
@@ -1,4 +1,4 @@
-/** @file backend_incarnation.h Which life of a backend server is meant. */
+/** @file backend_incarnation.h Identifies one incarnation of a backend server. */
 
 #pragma once
 
@@ -9,30 +9,31 @@
 namespace wisteriahoist {
 
 /**
- * One life of a backend server, from its start to its end. It may start again under the id that it
- * had, and then holds and knows nothing of before; only the time of its start tells the two apart.
+ * One incarnation of a backend server, from process start to exit. A backend server may restart
+ * under the same id; it then holds no grants and no state of the previous incarnation. Only the
+ * start time distinguishes the two.
  */
 struct BackendIncarnation {
     std::string id;
-    uint64_t born = 0; ///< Unix time of its start in milliseconds; 0: it does not tell.
+    uint64_t born = 0; ///< Start time in Unix milliseconds; 0: not reported.
 
     BackendIncarnation() = default;
-    BackendIncarnation(std::string lifeId, uint64_t bornAt = 0)
-        : id(std::move(lifeId)), born(bornAt)
+    BackendIncarnation(std::string backendId, uint64_t startMs = 0)
+        : id(std::move(backendId)), born(startMs)
     { }
-    BackendIncarnation(const char *lifeId) : id(lifeId) { }
+    BackendIncarnation(const char *backendId) : id(backendId) { }
 
     bool operator==(const BackendIncarnation &) const = default;
 
     bool empty() const { return id.empty(); }
 
-    /** @return Whether this life is known to have begun before @p other. */
+    /** @return Whether both start times are known and this one is earlier than that of @p other. */
     bool isBefore(const BackendIncarnation &other) const
     {
         return born != 0 && other.born != 0 && born < other.born;
     }
 
-    /** @return The life for people: id, and the start if it is known. */
+    /** @return Readable form: the id, followed by "@" and the start time if it is known. */
     std::string text() const { return born == 0 ? id : id + "@" + std::to_string(born); }
 };
 
--- a/src/core/failure_type.h
+++ b/src/core/failure_type.h
@@ -1,4 +1,4 @@
-/** @file failure_type.h Typed failures, and the result type that carries them (Boost.Outcome). */
+/** @file failure_type.h Typed failures and the result type that carries them (Boost.Outcome). */
 
 #pragma once
 
@@ -8,32 +8,32 @@
 
 namespace wisteriahoist {
 
-/** Every way in which an operation of the system can fail. */
+/** All failure types that an operation can return. */
 enum class FailureCode {
-    BadArgument,      ///< The input breaks a rule that is stated in its description.
-    NotFound,         ///< The named thing does not exist.
-    VersionConflict,  ///< A conditional update met another version than expected.
+    BadArgument,      ///< The input violates a documented precondition.
+    NotFound,         ///< The requested item does not exist.
+    VersionConflict,  ///< A conditional update found a different version than expected.
     TooLarge,         ///< A size bound was exceeded.
-    RateLimited,      ///< The platform asked for fewer calls.
-    Unavailable,      ///< The other side is known not to have acted.
-    Ambiguous,        ///< The other side may or may not have acted.
-    DeadlineExceeded, ///< The deadline passed; the other side may have acted.
-    Malformed,        ///< Bytes that the codec or the protocol refuses.
-    Unauthorized,     ///< The credential is missing or wrong.
-    Overloaded,       ///< A bounded queue or ring was full; nothing was done.
-    HistoryGone,      ///< The changes that were asked for are no longer known; list again.
+    RateLimited,      ///< The platform rejected the call because of its rate limit.
+    Unavailable,      ///< The remote side is known not to have executed the operation.
+    Ambiguous,        ///< The remote side may or may not have executed the operation.
+    DeadlineExceeded, ///< The deadline passed; the operation may have been executed.
+    Malformed,        ///< The codec or the protocol parser rejected the bytes.
+    Unauthorized,     ///< The credential is missing or invalid.
+    Overloaded,       ///< A bounded queue or ring buffer was full; nothing was executed.
+    HistoryGone,      ///< The requested changes are no longer available; a new list is needed.
 };
 
-/** @return The stable name of @p code as it appears in bodies and logs. */
+/** @return The stable name of @p code, as used in response bodies and logs. */
 std::string_view failureName(FailureCode code);
 
-/** A failure: its type, and the context a person needs to act on it. */
+/** A failure: its type and a description for the operator. */
 struct Failure {
     FailureCode code = FailureCode::BadArgument;
-    std::string context; ///< For people; never parsed.
+    std::string context; ///< Human-readable description; never parsed.
 };
 
-/** A value or a typed failure. Reading the wrong side ends the process. */
+/** A value or a typed failure. Accessing the one that is absent terminates the process. */
 template <typename T>
 using Result = boost::outcome_v2::result<T, Failure, boost::outcome_v2::policy::terminate>;
 
--- a/src/core/hash_func.cpp
+++ b/src/core/hash_func.cpp
@@ -1,4 +1,4 @@
-/** @file hash_func.cpp xxHash 64 behind the strong types. */
+/** @file hash_func.cpp Computes key hashes with xxHash 64. */
 
 #include "core/hash_func.h"
 
--- a/src/core/hash_func.h
+++ b/src/core/hash_func.h
@@ -1,4 +1,4 @@
-/** @file hash_func.h The hash that places keys in a key space (xxHash 64). */
+/** @file hash_func.h Hash function that maps keys to a key space (xxHash 64). */
 
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace wisteriahoist {
 
-/** @return The point of @p key in the hash space that @p seed (from the declaration) selects. */
+/** @return The hash of @p key, with the @p seed from the service's declaration. */
 KeyHash hashKey(std::string_view key, uint64_t seed);
 
 } // namespace wisteriahoist
--- a/src/core/id_type.h
+++ b/src/core/id_type.h
@@ -1,4 +1,4 @@
-/** @file id_type.h The ids, epochs, terms and versions of the system. */
+/** @file id_type.h Types of ids, epochs, terms and versions. */
 
 #pragma once
 
@@ -6,20 +6,22 @@
 
 namespace wisteriahoist {
 
-using NodeId = StrongId<struct NodeIdTag>; ///< A node, by its settings; 0 is no node.
-using Incarnation
-        = StrongId<struct IncarnationTag>; ///< One life of a node's process; rises with each start.
-using Term = StrongId<struct TermTag>; ///< A coordinator's period of office in one cell; 0 is none.
-using Epoch
-        = StrongId<struct EpochTag>; ///< Rises with each change of a range's owner; fences grants.
-using ObjectVersion
-        = StrongId<struct ObjectVersionTag>; ///< The platform's version; 0: does not exist.
-using KeyHash
-        = StrongId<struct KeyHashTag>; ///< 64-bit hash of a key; a point in a service's key space.
-using RequestId
-        = StrongId<struct RequestIdTag>; ///< One request within one node's life; never reused.
-using WriteNonce
-        = StrongId<struct WriteNonceTag>; ///< Names one write, so that its writer knows it again.
+/** Node id from the settings; 0: no node. */
+using NodeId = StrongId<struct NodeIdTag>;
+/** Sequence number of a node's process starts. */
+using Incarnation = StrongId<struct IncarnationTag>;
+/** Leadership term of a cell's coordinator; 0: none. */
+using Term = StrongId<struct TermTag>;
+/** Fencing token of a grant: increases with each change of a range's owner. */
+using Epoch = StrongId<struct EpochTag>;
+/** Version of an object in the platform; 0: it does not exist. */
+using ObjectVersion = StrongId<struct ObjectVersionTag>;
+/** 64-bit hash of a key in a service's key space. */
+using KeyHash = StrongId<struct KeyHashTag>;
+/** Id of a request; unique within one incarnation of a node, never reused. */
+using RequestId = StrongId<struct RequestIdTag>;
+/** Identifies one write, so that the writer can recognise it. */
+using WriteNonce = StrongId<struct WriteNonceTag>;
 
 inline constexpr NodeId InvalidNode{0};
 inline constexpr ObjectVersion AbsentObject{0};
--- a/src/core/strong_id.h
+++ b/src/core/strong_id.h
@@ -10,8 +10,8 @@
 namespace wisteriahoist {
 
 /**
- * A number that cannot be mixed up with another kind of number.
- * @tparam Tag An empty type that names the kind.
+ * Strong typedef of an integer: ids with different tags cannot be mixed or converted implicitly.
+ * @tparam Tag Incomplete type that distinguishes the kinds of ids.
  */
 template <typename Tag, typename Rep = uint64_t>
 class StrongId
--- a/src/core/time_type.h
+++ b/src/core/time_type.h
@@ -1,4 +1,4 @@
-/** @file time_type.h The clock's time point and the durations that decisions are made with. */
+/** @file time_type.h Clock, time point and duration types. */
 
 #pragma once
 
@@ -8,8 +8,8 @@
 namespace wisteriahoist {
 
 /**
- * The time base of every decision: CLOCK_BOOTTIME, which runs on while the process is stopped.
- * The clock is only named here; it is read behind the port Clock.
+ * Time base of all decisions: CLOCK_BOOTTIME, which also advances while the process is stopped.
+ * This type only defines the time point; the interface Clock reads the time.
  */
 struct BootClock {
     using duration = std::chrono::nanoseconds;
@@ -24,18 +24,18 @@
 using std::chrono::milliseconds;
 
 /**
- * "Never", for something that has not happened. Ten years before the clock's origin rather than
- * the smallest value, so that differences to it do not overflow.
+ * Marks an event that has not happened. Ten years before the clock's origin instead of the minimum
+ * value, so that differences to it do not overflow.
  */
 inline constexpr TimePoint NeverTime{std::chrono::hours(-24 * 365 * 10)};
 
-/** @return Whole milliseconds since the clock's origin; the form in which time points travel. */
+/** @return Whole milliseconds since the clock's origin; the encoding of time points in messages. */
 constexpr int64_t toMillisecondCount(TimePoint time)
 {
     return std::chrono::duration_cast<milliseconds>(time.time_since_epoch()).count();
 }
 
-/** @return The time point that lies @p count milliseconds after the clock's origin. */
+/** @return The time point @p count milliseconds after the clock's origin. */
 constexpr TimePoint fromMillisecondCount(int64_t count)
 {
     return TimePoint(milliseconds(count));
--- a/src/port/backend_control.h
+++ b/src/port/backend_control.h
@@ -1,4 +1,4 @@
-/** @file backend_control.h Port: orders to the backend server beside this node. */
+/** @file backend_control.h Interface: commands to the local backend server. */
 
 #pragma once
 
@@ -8,32 +8,33 @@
 
 namespace wisteriahoist {
 
-/** How an order ended. */
+/** Result of a grant or release command. */
 struct ControlReply {
     ControlResult result = ControlResult::Unanswered;
-    std::string handover; ///< Of a release.
+    std::string handover; ///< Hand-over token; set by a release.
 };
 
-/** What a pollOnce at the backend server showed. */
+/** Result of a status poll of the backend server. */
 struct BackendStatus {
     bool answered = false;
     bool healthy = false;
     bool refusedConnection = false;
-    std::string backend; ///< Its id; the answer does not tell which life it is.
+    std::string backend; ///< Backend id; the response does not identify the incarnation.
 };
 
-/** Grants and releases for a backend server that enforces them itself. */
+/** Sends grants and releases to a backend server that enforces them itself. */
 class BackendControl
 {
 public:
     virtual ~BackendControl() = default;
 
-    virtual boost::asio::awaitable<ControlReply> grant(GrantRequest order, milliseconds timeout)
+    virtual boost::asio::awaitable<ControlReply> grant(GrantRequest request, milliseconds timeout)
             = 0;
-    virtual boost::asio::awaitable<ControlReply> release(ReleaseRequest order, milliseconds timeout)
+    virtual boost::asio::awaitable<ControlReply> release(ReleaseRequest request,
+                                                         milliseconds timeout)
             = 0;
 
-    /** Asks for its state and life; takes a slot there for a moment. */
+    /** Requests the status and id of the backend server; briefly occupies one of its slots. */
     virtual boost::asio::awaitable<BackendStatus> pollOnce(milliseconds timeout) = 0;
 };
 
--- a/src/port/clock.h
+++ b/src/port/clock.h
@@ -1,4 +1,4 @@
-/** @file clock.h Port: where the present time comes from. */
+/** @file clock.h Interface: source of the current time. */
 
 #pragma once
 
@@ -6,13 +6,13 @@
 
 namespace wisteriahoist {
 
-/** Reads the present time; the only source of it outside tests. */
+/** Reads the current time. Production code has no other time source for its decisions. */
 class Clock
 {
 public:
     virtual ~Clock() = default;
 
-    /** @return The present time on a clock that runs on while the process is stopped. */
+    /** @return The current time of a clock that also advances while the process is stopped. */
     virtual TimePoint now() const = 0;
 };
 
--- a/src/port/peer_calls.h
+++ b/src/port/peer_calls.h
@@ -1,4 +1,4 @@
-/** @file peer_calls.h Port: calls between this node and others. */
+/** @file peer_calls.h Interface: remote procedure calls between nodes. */
 
 #pragma once
 
@@ -12,19 +12,21 @@
 
 namespace wisteriahoist {
 
-/** Carries calls to other nodes, and theirs to whoever answers them here. Used by one thread. */
+/** Sends calls to other nodes and dispatches incoming calls to handlers. Used by one thread. */
 class PeerCalls
 {
 public:
+    /** Handles one incoming call: receives the request body and returns the reply body. */
     using Answer = std::function<boost::asio::awaitable<std::string>(std::string)>;
 
     virtual ~PeerCalls() = default;
 
-    /** @param path Begins with a slash. @pre Called before the first call arrives. */
+    /** Registers the handler for @p path.
+     *  @param path Begins with a slash. @pre Called before the first call arrives. */
     virtual void serve(const std::string &path, Answer answer) = 0;
 
-    /** @return The reply's body; Unavailable if the peer never processed the call, also because
-     *          another node has its address by now. */
+    /** @return The reply body; Unavailable if the peer has not processed the call, also if another
+     *          node now uses its address. */
     virtual boost::asio::awaitable<Result<std::string>>
     call(const MemberRecord &member, std::string_view path, std::string body, milliseconds timeout)
             = 0;
--- a/src/port/platform_store.h
+++ b/src/port/platform_store.h
@@ -1,4 +1,4 @@
-/** @file platform_store.h Port: the platform's object API. */
+/** @file platform_store.h Interface: the platform's object API. */
 
 #pragma once
 
@@ -12,18 +12,18 @@
 
 namespace wisteriahoist {
 
-/** An object's content with the version it has in the platform. */
+/** Content and version of an object in the platform. */
 struct VersionedObject {
     ObjectVersion version; ///< AbsentObject if there is no such object.
     std::string content;   ///< At most MaxObjectBytes.
 };
 
-/** The platform refuses a larger object. */
+/** Maximum object size that the platform accepts. */
 inline constexpr size_t MaxObjectBytes = 1024 * 1024;
 
 /**
- * The platform's object API. A failure with code Ambiguous or DeadlineExceeded on a write means
- * that the write may have taken effect: read the object back.
+ * The platform's object API. If a write fails with Ambiguous or DeadlineExceeded it may have taken
+ * effect; the caller must read the object back.
  */
 class PlatformStore
 {
@@ -33,7 +33,7 @@
 
     virtual ~PlatformStore() = default;
 
-    /** Reads an object; an absent one is a result with version AbsentObject. */
+    /** Reads an object. @return Version AbsentObject if it does not exist. */
     virtual Pending<VersionedObject> read(std::string name) = 0;
 
     /**
@@ -51,8 +51,8 @@
     virtual Pending<std::vector<std::string>> list(std::string prefix) = 0;
 
     /**
-     * Waits until the object's version is above @p known or @p wait has passed. Counts as one call.
-     * @return The object as it is then.
+     * Waits until the object's version is above @p known, at most @p wait. Counts as one call.
+     * @return The object's state at the end of the wait.
      */
     virtual Pending<VersionedObject> watch(std::string name, ObjectVersion known, milliseconds wait)
             = 0;
--- a/src/port/random_source.h
+++ b/src/port/random_source.h
@@ -1,4 +1,4 @@
-/** @file random_source.h Port: where random numbers come from. */
+/** @file random_source.h Interface: source of random numbers. */
 
 #pragma once
 
@@ -6,7 +6,7 @@
 
 namespace wisteriahoist {
 
-/** The only source of random numbers outside tests. Used by one thread. */
+/** Generates random numbers. Production code has no other source. Used by one thread. */
 class RandomSource
 {
 public:
--- a/src/port/record_store.h
+++ b/src/port/record_store.h
@@ -1,4 +1,5 @@
-/** @file record_store.h Port: the platform's store, as records by kind and name with watches. */
+/** @file record_store.h Interface: the platform's store of records, by kind and name, with watches.
+ */
 
 #pragma once
 
@@ -15,20 +16,20 @@
 
 namespace wisteriahoist {
 
-/** The store's one counter of changes; rises over all kinds. */
+/** Revision counter of the store; shared by all record kinds, increases with each change. */
 using StoreRevision = StrongId<struct StoreRevisionTag>;
 
-/** The kinds of records that this product reads or writes. */
+/** Kinds of records that a node reads or writes. */
 enum class RecordKind {
     Configuration, ///< Written by operators.
-    Members,       ///< One for each node, written by the node itself.
-    Ranges,        ///< One for each sharded service.
-    Leases,        ///< One for each node that grants keys. Not watched: it changes all the time.
+    Members,       ///< One per node, written by that node.
+    Ranges,        ///< One per sharded service.
+    Leases,        ///< One per node that grants keys. Not watched, because it changes continuously.
 };
 
 inline constexpr size_t RecordKindCount = 4;
 
-/** @return Its name in logs and metrics. */
+/** @return The name of @p kind in logs and metrics. */
 constexpr std::string_view recordKindName(RecordKind kind)
 {
     switch (kind) {
@@ -44,11 +45,11 @@
     return "";
 }
 
-/** What is asked of the store. */
+/** Operations of the store. */
 enum class StoreCall { List, Read, Watch, Create, Replace };
 inline constexpr size_t StoreCallCount = 5;
 
-/** @return Its name in metrics. */
+/** @return The name of @p call in metrics. */
 constexpr std::string_view storeCallName(StoreCall call)
 {
     constexpr std::array<std::string_view, StoreCallCount> Names{"list", "read", "watch", "create",
@@ -56,7 +57,7 @@
     return Names[static_cast<size_t>(call)];
 }
 
-/** Calls made since the start; each one is paid for. */
+/** Number of store calls since process start; the platform charges for each call. */
 class StoreCallCounts
 {
 public:
@@ -72,34 +73,34 @@
     std::array<uint64_t, StoreCallCount * RecordKindCount> counts_{};
 };
 
-/** A record as it is stored. */
+/** A record in the store. */
 struct StoredRecord {
     std::string name;
-    StoreRevision revision; ///< Of its last change.
+    StoreRevision revision; ///< Revision of the record's last change.
     std::string content;    ///< JSON text.
 };
 
-/** All records of a kind at one revision. */
+/** Snapshot of all records of a kind at one revision. */
 struct RecordListing {
     std::vector<StoredRecord> records;
-    StoreRevision at; ///< Watch from here.
+    StoreRevision at; ///< Revision of the snapshot; a watch continues from here.
 };
 
-/** One change. */
+/** One change of a record. */
 struct RecordChange {
     StoredRecord record;
     bool removed = false;
 };
 
-/** Changes since a revision, in their order. */
+/** Changes since a revision, in order of revision. */
 struct RecordChanges {
     std::vector<RecordChange> changes;
-    StoreRevision at; ///< Watch on from here.
+    StoreRevision at; ///< Revision from which the next watch continues.
 };
 
 /**
- * The store. Reads are linearizable. A write that fails as Ambiguous or DeadlineExceeded may have
- * taken effect, or may do so seconds later if its condition still holds then.
+ * The record store. Reads are linearizable. A write that fails with Ambiguous or DeadlineExceeded
+ * may have taken effect, or may take effect seconds later if its condition still holds then.
  */
 class RecordStore
 {
@@ -114,23 +115,24 @@
     /** @return NotFound if there is no such record. */
     virtual Pending<StoredRecord> read(RecordKind kind, std::string name) = 0;
 
-    /** @return The record's revision; VersionConflict if it exists already. */
+    /** @return The record's revision; VersionConflict if the record already exists. */
     virtual Pending<StoreRevision> create(RecordKind kind, std::string name, std::string content)
             = 0;
 
-    /** Replaces the record if its revision is @p expected. @return Its new revision, NotFound or
+    /** Replaces the record if its revision is @p expected. @return The new revision, NotFound or
      *  VersionConflict. */
     virtual Pending<StoreRevision> replace(RecordKind kind, std::string name,
                                            StoreRevision expected, std::string content)
             = 0;
 
-    /** Told of the record that stands in the way of a refused write. */
+    /** Receives the stored record that caused a version conflict. */
     using ConflictListener = std::function<void(RecordKind, const StoredRecord &)>;
 
-    /** @param listener Hears what a refused write's answer holds; a store may never tell it. */
+    /** Sets the listener for the record in the response to a conflicting write. A store that does
+     *  not return the record never calls it. */
     virtual void onConflict(ConflictListener) { }
 
-    /** Creates the record if @p expected is 0, else replaces that revision. */
+    /** Creates the record if @p expected is 0; otherwise replaces revision @p expected. */
     Pending<StoreRevision> write(RecordKind kind, std::string name, StoreRevision expected,
                                  std::string content)
     {
@@ -140,8 +142,8 @@
     }
 
     /**
-     * Waits until something of @p kind has changed after @p since, for @p wait at most.
-     * @return The changes, perhaps none; HistoryGone if the store no longer knows them.
+     * Waits until a record of @p kind has changed after revision @p since, at most @p wait.
+     * @return The changes, possibly none; HistoryGone if the store no longer has them.
      */
     virtual Pending<RecordChanges> watch(RecordKind kind, StoreRevision since, milliseconds wait)
             = 0;
--- a/src/port/revision_exchange.h
+++ b/src/port/revision_exchange.h
@@ -1,4 +1,4 @@
-/** @file revision_exchange.h Port: what this node knows of the store, and what others know of it.
+/** @file revision_exchange.h Interface: exchange of the latest known store revisions between nodes.
  */
 
 #pragma once
@@ -10,17 +10,20 @@
 
 namespace wisteriahoist {
 
-/** The newest change of each watched kind that a node has heard of. */
+/** The latest revision of each watched record kind that a node knows. */
 using KnownRevisions = std::map<RecordKind, StoreRevision>;
 
-/** Compares what two nodes have heard of the store whenever they talk. */
+/** Compares the store revisions known to this node and to a peer whenever the two communicate. */
 class RevisionExchange
 {
 public:
     virtual ~RevisionExchange() = default;
 
+    /** @return The latest revisions that this node knows, to be sent to a peer. */
     virtual KnownRevisions news() const = 0;
-    virtual void onPeerRevisions(const KnownRevisions &news, TimePoint now) = 0;
+
+    /** Handles the revisions received from a peer, which may be ahead of this node's. */
+    virtual void onPeerRevisions(const KnownRevisions &revisions, TimePoint now) = 0;
 };
 
 } // namespace wisteriahoist
--- a/src/port/wake_timer.h
+++ b/src/port/wake_timer.h
@@ -1,4 +1,4 @@
-/** @file wake_timer.h Port: waits of a duty, which may be ended early. */
+/** @file wake_timer.h Interface: timers whose wait can be ended early. */
 
 #pragma once
 
@@ -9,20 +9,20 @@
 
 namespace wisteriahoist {
 
-/** One wait at a time. Used by one thread. */
+/** Timer that supports one wait at a time. Used by one thread. */
 class WakeTimer
 {
 public:
     virtual ~WakeTimer() = default;
 
-    /** Waits for @p duration, or until wake(). */
+    /** Waits for @p duration or until wake() is called. */
     virtual boost::asio::awaitable<void> wait(Duration duration) = 0;
 
-    /** Ends the wait that is under way; without one, nothing happens. */
+    /** Ends the current wait; has no effect if there is none. */
     virtual void wake() = 0;
 };
 
-/** Makes the timers of a duty, so that a test can run it on a simulated clock. */
+/** Creates timers; a test replaces it to run on a simulated clock. */
 class WakeTimerFactory
 {
 public:
--- a/test/support/json_text.h
+++ b/test/support/json_text.h
@@ -1,5 +1,5 @@
-/** @file json_text.h Boost.JSON for tests; stands before story.h, whose macros break its headers.
- */
+/** @file json_text.h Boost.JSON for tests. Must be included before test_section.h, since the macros
+ * of Criterion break the headers of Boost.JSON. */
 
 #pragma once
 
--- a/test/support/raw_http_client.h
+++ b/test/support/raw_http_client.h
@@ -1,4 +1,4 @@
-/** @file raw_http_client.h A caller on a plain socket, outside the event loop that is tested. */
+/** @file raw_http_client.h HTTP test client on a plain socket, outside the tested event loop. */
 
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace wisteriahoist::testing {
 
-/** A caller on a plain socket; it knows when its bytes have reached the server's machine. */
+/** HTTP test client on a plain socket that waits until its bytes have reached the server's host. */
 class RawHttpClient
 {
 public:
@@ -25,7 +25,8 @@
         socket_.non_blocking(true);
     }
 
-    /** Returns when the other side's operating system has all bytes, or the connection is cut. */
+    /** Sends @p bytes. Returns when the peer's operating system has acknowledged all of them, or
+     * the connection is closed. */
     void send(const std::string &bytes)
     {
         beast::error_code error;
@@ -36,7 +37,7 @@
         }
     }
 
-    /** Takes what has come. */
+    /** Reads all bytes that have arrived, without blocking. */
     void pollOnce()
     {
         std::array<char, 4096> chunk{};
@@ -50,7 +51,7 @@
 
     void leave() { socket_.close(); }
 
-    /** @return How often @p text has been received. */
+    /** @return Number of occurrences of @p text in the received bytes. */
     size_t count(std::string_view text) const
     {
         size_t found = 0;
--- a/test/support/test_section.h
+++ b/test/support/test_section.h
@@ -1,4 +1,4 @@
-/** @file test_section.h Nested sections for Criterion tests, so that a test reads as a story. */
+/** @file test_section.h Nested sections with descriptions for Criterion tests. */
 
 #pragma once
 
@@ -7,7 +7,7 @@
 
 namespace wisteriahoist::testing {
 
-/** One section; its text is logged (shown with --verbose, and after a failure). */
+/** One section; logs its description, which is shown with --verbose and after a failure. */
 class Section
 {
 public:
@@ -17,5 +17,5 @@
 
 } // namespace wisteriahoist::testing
 
-/** Opens a section: SECTION("when the lease lapses") { ... } */
+/** Opens a section: SECTION("when the lease expires") { ... } */
 #define SECTION(text) if (const wisteriahoist::testing::Section section_{text})
--- a/test/unit/http/http_client_test.cpp
+++ b/test/unit/http/http_client_test.cpp
@@ -1,5 +1,5 @@
-/** @file http_client_test.cpp Answers that belong to others, stated idle times, unframed answers.
- */
+/** @file http_client_test.cpp Misplaced and unframed responses, Keep-Alive timeouts, refused
+ * connections. */
 
 #include "adapter/http/http_client.h"
 #include "support/scripted_backend.h"
@@ -29,40 +29,42 @@
     HttpClient client;
 };
 
-std::string makeMarked(const std::string &mark)
+std::string makeMarkedResponse(const std::string &mark)
 {
     return "HTTP/1.1 200 OK\r\nMark: " + mark + "\r\nContent-Length: 2\r\n\r\n" + mark;
 }
 
 } // namespace
 
-// A caller would get another caller's bytes: the backend server has sent a second answer to an
-// earlier request, and it lies where the next answer is due. It is dropped and the next one waited
-// for; the connection, whose sender has lost count, is not used again.
-Test(http_client, an_answer_to_another_request_is_skipped)
+// Guards against delivering another caller's response: the backend server sends a second response
+// to an earlier request, which arrives before the expected one. The client must discard it, wait
+// for the next response, and not reuse the connection.
+Test(http_client, response_to_another_request_is_skipped)
 {
-    Fixture fixture({{makeMarked("aa") + makeMarked("bb"), {}, false, false, false}});
+    Fixture fixture(
+            {{makeMarkedResponse("aa") + makeMarkedResponse("bb"), {}, false, false, false}});
     auto control = std::make_shared<ExchangeControl>();
     control->setResponseFilter(
             [](const HttpResponse &response) { return response["Mark"] == "bb"; });
-    const auto answer = fixture.get(control);
-    cr_assert(answer.has_value() && answer.assume_value().body() == "bb");
+    const auto result = fixture.get(control);
+    cr_assert(result.has_value() && result.assume_value().body() == "bb");
     cr_assert(fixture.client.idleConnections() == 0);
 }
 
-// A request on a kept connection crosses the other side's close and is lost; nobody can tell
-// whether it ran. The stated idle time says when that may happen.
-Test(http_client, a_stated_idle_time_is_kept)
+// Guards against requests on an idle connection that cross the server's close: such a request is
+// lost, and it is unknown whether it was executed. The Keep-Alive timeout states when the server
+// may close the connection.
+Test(http_client, keep_alive_timeout_of_the_server_is_respected)
 {
     const std::string head = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n";
-    SECTION("a connection that may be closed within a second is not kept for use")
+    SECTION("a connection with a timeout of one second is not reused")
     {
         Fixture fixture({{head + "Keep-Alive: timeout=1\r\n\r\n", {}, false, false, false}});
         cr_assert(fixture.get().has_value());
         cr_assert(fixture.get().has_value());
         cr_assert(fixture.client.connectionsOpened() == 2);
     }
-    SECTION("one with time left is")
+    SECTION("a connection with a longer timeout is reused")
     {
         Fixture fixture({{head + "Keep-Alive: timeout=10\r\n\r\n", {}, false, false, false}});
         cr_assert(fixture.get().has_value());
@@ -71,31 +73,31 @@
     }
 }
 
-Test(http_client, an_answer_that_ends_with_its_connection)
+Test(http_client, response_delimited_by_the_end_of_the_connection)
 {
     const BackendScript unframed{"HTTP/1.1 200 OK\r\n\r\nwhole", {}, true, false, false};
-    SECTION("is no whole answer where the peer always states a length")
+    SECTION("is rejected by default")
     {
         Fixture fixture({unframed});
         cr_assert(!fixture.get());
     }
-    SECTION("is one where the protocol allows it")
+    SECTION("is accepted if the pool limits allow it")
     {
         PoolLimits limits;
         limits.unframed = true;
         Fixture fixture({unframed}, limits);
-        const auto answer = fixture.get();
-        cr_assert(answer.has_value() && answer.assume_value().body() == "whole");
+        const auto result = fixture.get();
+        cr_assert(result.has_value() && result.assume_value().body() == "whole");
     }
 }
 
-Test(http_client, a_refused_connection_is_told_apart)
+Test(http_client, refused_connection_is_reported)
 {
     Fixture fixture({});
-    HttpClient nowhere(fixture.context.get_executor(), "127.0.0.1", 1);
+    HttpClient unreachable(fixture.context.get_executor(), "127.0.0.1", 1);
     auto control = std::make_shared<ExchangeControl>();
     HttpRequest request(http::verb::get, "/", 11);
-    const auto answer = runUntil(fixture.context,
-                                 nowhere.exchange(std::move(request), milliseconds(2000), control));
-    cr_assert(!answer && control->isRefused());
+    const auto result = runUntil(
+            fixture.context, unreachable.exchange(std::move(request), milliseconds(2000), control));
+    cr_assert(!result && control->isRefused());
 }
