--- a/test/unit/http/http_server_test.cpp
+++ b/test/unit/http/http_server_test.cpp
@@ -1,4 +1,4 @@
-/** @file http_server_test.cpp Malformed input, framing, and callers that go away. */
+/** @file http_server_test.cpp Malformed input, framing, pipelining and disconnects. */
 
 #include "adapter/http/header_rules.h"
 #include "adapter/http/http_client.h"
@@ -21,16 +21,17 @@
     co_return response;
 }
 
-/** What became of one request whose handler does not answer. */
-struct Visit {
-    bool reached = false;
-    bool gone = false;
+/** Progress of one request whose handler does not respond. */
+struct RequestProgress {
+    bool handlerStarted = false;
+    bool disconnected = false;
 };
 
-asio::awaitable<HttpResponse> holdOpen(Visit &visit, std::shared_ptr<DisconnectSignal> watch)
+asio::awaitable<HttpResponse> waitForDisconnect(RequestProgress &progress,
+                                                std::shared_ptr<DisconnectSignal> signal)
 {
-    visit.reached = true;
-    watch->onDisconnect([&visit]() { visit.gone = true; });
+    progress.handlerStarted = true;
+    signal->onDisconnect([&progress]() { progress.disconnected = true; });
     asio::steady_timer timer(co_await asio::this_coro::executor, std::chrono::seconds(30));
     co_await timer.async_wait(asio::use_awaitable);
     co_return HttpResponse();
@@ -43,8 +44,8 @@
         server->start();
     }
 
-    /** @return All that the server sends until it closes the connection. */
-    std::string talk(const std::string &bytes)
+    /** Sends @p bytes. @return All bytes that the server sends until it closes the connection. */
+    std::string exchange(const std::string &bytes)
     {
         tcp::socket socket(context);
         socket.connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), server->port()));
@@ -61,7 +62,7 @@
     std::shared_ptr<HttpServer> server;
 };
 
-size_t countAnswers(const std::string &text)
+size_t countResponses(const std::string &text)
 {
     size_t count = 0;
     for (size_t at = text.find("HTTP/1.1 "); at != std::string::npos;
@@ -78,8 +79,9 @@
 
 Test(request_http, malformed_corpus)
 {
-    // Two nodes, or a node and a backend server, that disagree where a request ends read the rest
-    // of one caller's bytes as another request. Each such input gets one 400, and nothing after it.
+    // Guards against request smuggling: if two nodes, or a node and a backend server, disagree on
+    // where a request ends, the remaining bytes of one caller are parsed as another request. Each
+    // of these inputs must get exactly one response, a 400.
     const std::string start = "POST /a HTTP/1.1\r\nHost: h\r\n";
     const std::vector<std::string> corpus{
             start + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
@@ -100,10 +102,10 @@
     };
     for (const std::string &input : corpus) {
         ServerFixture fixture;
-        const std::string answer = fixture.talk(input + Smuggled);
-        cr_assert(answer.starts_with("HTTP/1.1 400"), "%s -> %s", input.c_str(), answer.c_str());
-        cr_assert(countAnswers(answer) == 1, "%s", input.c_str());
-        cr_assert(answer.find("application/problem+json") != std::string::npos);
+        const std::string reply = fixture.exchange(input + Smuggled);
+        cr_assert(reply.starts_with("HTTP/1.1 400"), "%s -> %s", input.c_str(), reply.c_str());
+        cr_assert(countResponses(reply) == 1, "%s", input.c_str());
+        cr_assert(reply.find("application/problem+json") != std::string::npos);
     }
 }
 
@@ -114,9 +116,9 @@
     limits.bodyBytes = 16;
     ServerFixture fixture(limits);
     const std::string big(600, 'x');
-    cr_assert(fixture.talk("GET / HTTP/1.1\r\nHost: h\r\nX: " + big + "\r\n\r\n")
+    cr_assert(fixture.exchange("GET / HTTP/1.1\r\nHost: h\r\nX: " + big + "\r\n\r\n")
                       .starts_with("HTTP/1.1 431"));
-    cr_assert(fixture.talk("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 17\r\n\r\n")
+    cr_assert(fixture.exchange("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 17\r\n\r\n")
                       .starts_with("HTTP/1.1 413"));
 }
 
@@ -125,30 +127,31 @@
     ServerFixture fixture;
     SECTION("pipelined requests are answered in order")
     {
-        const std::string answer
-                = fixture.talk("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n"
-                               + Close + "\r\n");
-        cr_assert(countAnswers(answer) == 2 && answer.find("/1|") < answer.find("/2|"));
+        const std::string reply = fixture.exchange(
+                "GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n" + Close
+                + "\r\n");
+        cr_assert(countResponses(reply) == 2 && reply.find("/1|") < reply.find("/2|"));
     }
-    SECTION("a chunked body is read whole")
+    SECTION("a chunked body is read completely")
     {
-        const std::string answer = fixture.talk(
+        const std::string reply = fixture.exchange(
                 "POST /c HTTP/1.1\r\nHost: h\r\n" + Close
                 + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-        cr_assert(answer.find("/c|abcde") != std::string::npos);
+        cr_assert(reply.find("/c|abcde") != std::string::npos);
     }
-    SECTION("HEAD has the length and no body")
+    SECTION("the response to HEAD has a length and no body")
     {
-        const std::string answer = fixture.talk("HEAD /h HTTP/1.1\r\nHost: h\r\n" + Close + "\r\n");
-        cr_assert(answer.find("Content-Length: 3") != std::string::npos);
-        cr_assert(answer.ends_with("\r\n\r\n"));
+        const std::string reply
+                = fixture.exchange("HEAD /h HTTP/1.1\r\nHost: h\r\n" + Close + "\r\n");
+        cr_assert(reply.find("Content-Length: 3") != std::string::npos);
+        cr_assert(reply.ends_with("\r\n\r\n"));
     }
-    SECTION("a body that waits for leave gets it")
+    SECTION("Expect: 100-continue gets an interim response")
     {
-        const std::string answer
-                = fixture.talk("POST /e HTTP/1.1\r\nHost: h\r\n" + Close
-                               + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok");
-        cr_assert(answer.starts_with("HTTP/1.1 100") && answer.find("/e|ok") != std::string::npos);
+        const std::string reply
+                = fixture.exchange("POST /e HTTP/1.1\r\nHost: h\r\n" + Close
+                                   + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\nok");
+        cr_assert(reply.starts_with("HTTP/1.1 100") && reply.find("/e|ok") != std::string::npos);
     }
 }
 
@@ -157,14 +160,14 @@
     setenv("RC_PARAMS", "seed=23 max_success=60", 1);
     const bool held = rc::check("server", [](const std::string &bytes) {
         ServerFixture fixture;
-        // The two line ends close the head, so that the server never waits for more.
-        const std::string answer = fixture.talk(bytes + "\r\n\r\n" + Smuggled);
-        RC_ASSERT(answer.empty() || answer.starts_with("HTTP/1.1 "));
+        // The blank line ends the header section, so that the server does not wait for more bytes.
+        const std::string reply = fixture.exchange(bytes + "\r\n\r\n" + Smuggled);
+        RC_ASSERT(reply.empty() || reply.starts_with("HTTP/1.1 "));
     });
     cr_assert(held);
 }
 
-Test(request_http, passed_fields)
+Test(request_http, forwarded_fields)
 {
     HttpRequest request(http::verb::get, "/", 11);
     request.set(http::field::connection, "close, X-Secret");
@@ -176,37 +179,37 @@
     cr_assert(passed.size() == 1 && passed.front().name == "traceparent");
 }
 
-Test(request_http, caller_goes_away)
+Test(request_http, disconnect_is_signalled_to_the_handler)
 {
-    // The caller closes while its request runs. Nobody reads the answer any more; a run that goes
-    // on holds a slot that other callers wait for.
+    // Guards against requests that continue after their caller has disconnected: the response
+    // cannot be delivered, and the request occupies a slot for which other callers wait.
     asio::io_context context;
-    Visit visit;
+    RequestProgress progress;
     const CancellableHttpHandler handler
-            = [&visit](HttpRequest, std::shared_ptr<DisconnectSignal> watch) {
-                  return holdOpen(visit, std::move(watch));
+            = [&progress](HttpRequest, std::shared_ptr<DisconnectSignal> signal) {
+                  return waitForDisconnect(progress, std::move(signal));
               };
     auto server = std::make_shared<HttpServer>(context, "127.0.0.1", 0, HttpLimits{}, handler);
     server->start();
     tcp::socket socket(context);
     socket.connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), server->port()));
     asio::write(socket, asio::buffer(std::string("GET / HTTP/1.1\r\nHost: h\r\n\r\n")));
-    cr_assert(runUntilHolds(context, [&]() { return visit.reached; }));
-    cr_assert(!visit.gone);
+    cr_assert(runUntilHolds(context, [&]() { return progress.handlerStarted; }));
+    cr_assert(!progress.disconnected);
     socket.close();
-    cr_assert(runUntilHolds(context, [&]() { return visit.gone; }));
+    cr_assert(runUntilHolds(context, [&]() { return progress.disconnected; }));
 }
 
 namespace {
 
-/** Answers each request when the test says so, by its path. */
-struct PacedServer {
-    PacedServer()
+/** Server whose handler responds to a path only after the test has added it to released. */
+struct ControlledServer {
+    ControlledServer()
         : server(std::make_shared<HttpServer>(
                 context, "127.0.0.1", 0, HttpLimits{},
                 CancellableHttpHandler(
-                        [this](HttpRequest request, std::shared_ptr<DisconnectSignal> watch) {
-                            return handle(std::move(request), std::move(watch));
+                        [this](HttpRequest request, std::shared_ptr<DisconnectSignal> signal) {
+                            return handle(std::move(request), std::move(signal));
                         }))),
           socket(context)
     {
@@ -215,13 +218,13 @@
     }
 
     asio::awaitable<HttpResponse> handle(HttpRequest request,
-                                         std::shared_ptr<DisconnectSignal> watch)
+                                         std::shared_ptr<DisconnectSignal> signal)
     {
         const std::string path(request.target());
-        begun.push_back(path);
-        watch->onDisconnect([this, path]() { gone.insert(path); });
+        startedPaths.push_back(path);
+        signal->onDisconnect([this, path]() { disconnected.insert(path); });
         asio::steady_timer timer(context);
-        while (answered.count(path) == 0) {
+        while (released.count(path) == 0) {
             timer.expires_after(milliseconds(1));
             co_await timer.async_wait(asio::use_awaitable);
         }
@@ -248,13 +251,13 @@
                          [this](beast::error_code, size_t) { ended = true; });
     }
 
-    bool hasBegun(size_t count)
+    bool waitForRequests(size_t count)
     {
-        return runUntilHolds(context, [&]() { return begun.size() == count; });
+        return runUntilHolds(context, [&]() { return startedPaths.size() == count; });
     }
 
-    /** Runs for a while in which nothing more should happen. */
-    void settle()
+    /** Runs the event loop for 20 ms, in which nothing more should happen. */
+    void runBriefly()
     {
         for (int round = 0; round < 20; ++round) {
             context.restart();
@@ -265,117 +268,127 @@
     asio::io_context context;
     std::shared_ptr<HttpServer> server;
     tcp::socket socket;
-    std::vector<std::string> begun;
-    std::set<std::string> answered; ///< Paths whose handlers may answer.
-    std::set<std::string> gone;
+    std::vector<std::string> startedPaths;
+    std::set<std::string> released; ///< Paths whose handlers may respond.
+    std::set<std::string> disconnected;
     std::string received;
     bool ended = false;
 };
 
 } // namespace
 
-// Callers that send ahead waited for all that they had sent before, and most of it was late: one
-// slow request held the rest up. They run at the same time now, and are answered in their order.
-Test(request_http, requests_that_are_sent_ahead_run_at_the_same_time)
+// Guards against head-of-line blocking: when pipelined requests ran one after the other, one slow
+// request delayed all later ones and most of them missed their deadlines. They run concurrently and
+// are answered in request order.
+Test(request_http, pipelined_requests_run_concurrently)
 {
-    PacedServer paced;
-    paced.send(PacedServer::get("/a") + PacedServer::get("/b") + PacedServer::get("/c"));
-    cr_assert(paced.hasBegun(3));
-    paced.receiveAll();
-    SECTION("nothing is answered before the first")
+    ControlledServer controlled;
+    controlled.send(ControlledServer::get("/a") + ControlledServer::get("/b")
+                    + ControlledServer::get("/c"));
+    cr_assert(controlled.waitForRequests(3));
+    controlled.receiveAll();
+    SECTION("no response is sent before the first one")
     {
-        paced.answered = {"/b", "/c"};
-        paced.settle();
-        cr_assert_eq(countAnswers(paced.received), 0U);
+        controlled.released = {"/b", "/c"};
+        controlled.runBriefly();
+        cr_assert_eq(countResponses(controlled.received), 0U);
     }
-    SECTION("then all are, in the order in which they came")
+    SECTION("after the first one, all are sent in request order")
     {
-        paced.answered.insert("/a");
-        cr_assert(
-                runUntilHolds(paced.context, [&]() { return countAnswers(paced.received) == 3; }));
-        const size_t a = paced.received.find("/a");
-        const size_t b = paced.received.find("/b");
-        cr_assert(a < b && b < paced.received.find("/c"));
+        controlled.released.insert("/a");
+        cr_assert(runUntilHolds(controlled.context,
+                                [&]() { return countResponses(controlled.received) == 3; }));
+        const size_t a = controlled.received.find("/a");
+        const size_t b = controlled.received.find("/b");
+        cr_assert(a < b && b < controlled.received.find("/c"));
     }
 }
 
-Test(request_http, a_request_with_effect_runs_alone)
+Test(request_http, unsafe_request_runs_alone)
 {
-    PacedServer paced;
-    paced.send(PacedServer::get("/a") + PacedServer::post("/book") + PacedServer::get("/b"));
-    cr_assert(paced.hasBegun(1));
-    paced.settle();
-    cr_assert_eq(paced.begun.size(), 1U);
-    paced.answered.insert("/a");
-    cr_assert(paced.hasBegun(2));
-    paced.settle();
-    cr_assert(paced.begun.back() == "/book" && paced.begun.size() == 2);
-    paced.answered.insert("/book");
-    cr_assert(paced.hasBegun(3));
+    ControlledServer controlled;
+    controlled.send(ControlledServer::get("/a") + ControlledServer::post("/book")
+                    + ControlledServer::get("/b"));
+    cr_assert(controlled.waitForRequests(1));
+    controlled.runBriefly();
+    cr_assert_eq(controlled.startedPaths.size(), 1U);
+    controlled.released.insert("/a");
+    cr_assert(controlled.waitForRequests(2));
+    controlled.runBriefly();
+    cr_assert(controlled.startedPaths.back() == "/book" && controlled.startedPaths.size() == 2);
+    controlled.released.insert("/book");
+    cr_assert(controlled.waitForRequests(3));
 }
 
-// A caller leaves while its first request runs and others wait behind it. Each of them learns so:
-// their work at the backend server would be for nobody.
-Test(request_http, a_caller_that_leaves_is_seen_by_all_its_requests)
+// Guards against work whose result cannot be delivered: a caller disconnects while pipelined
+// requests run and others wait behind them. All running requests must be notified.
+Test(request_http, disconnect_is_signalled_to_all_running_requests)
 {
-    PacedServer paced;
-    paced.send(PacedServer::get("/a") + PacedServer::get("/b") + PacedServer::post("/c"));
-    cr_assert(paced.hasBegun(2));
-    paced.socket.close();
-    cr_assert(runUntilHolds(paced.context, [&]() { return paced.gone.size() == 2; }));
-    paced.answered = {"/a", "/b", "/c"};
-    paced.settle();
-    cr_assert_eq(paced.begun.size(), 2U, "what waited is not begun for nobody");
+    ControlledServer controlled;
+    controlled.send(ControlledServer::get("/a") + ControlledServer::get("/b")
+                    + ControlledServer::post("/c"));
+    cr_assert(controlled.waitForRequests(2));
+    controlled.socket.close();
+    cr_assert(runUntilHolds(controlled.context,
+                            [&]() { return controlled.disconnected.size() == 2; }));
+    controlled.released = {"/a", "/b", "/c"};
+    controlled.runBriefly();
+    cr_assert_eq(controlled.startedPaths.size(), 2U,
+                 "waiting requests are not started after the disconnect");
 }
 
-// A node stops amid a pipeline. What was passed on is answered; the last answer announces the
-// close; what stands behind it has not been passed on, so the caller may send it again.
-Test(request_http, a_stop_amid_a_pipeline)
+// A node stops while pipelined requests run. Dispatched requests are answered, and the last
+// response contains "Connection: close". Later requests are not dispatched, so the caller may
+// resend them.
+Test(request_http, stop_during_pipelined_requests)
 {
-    PacedServer paced;
-    paced.send(PacedServer::get("/a") + PacedServer::get("/b") + PacedServer::post("/c")
-               + PacedServer::get("/d"));
-    cr_assert(paced.hasBegun(2));
-    paced.receiveAll();
-    paced.server->closeAfterResponses();
-    paced.answered = {"/a", "/b", "/c", "/d"};
-    cr_assert(runUntilHolds(paced.context, [&]() { return paced.ended; }));
-    cr_assert_eq(paced.begun.size(), 2U);
-    cr_assert_eq(countAnswers(paced.received), 2U);
-    const size_t close = paced.received.find("Connection: close");
-    cr_assert(close != std::string::npos && close > paced.received.find("\r\n\r\n/a"));
-    cr_assert(runUntilHolds(paced.context, [&]() { return paced.server->openRequests() == 0; }));
+    ControlledServer controlled;
+    controlled.send(ControlledServer::get("/a") + ControlledServer::get("/b")
+                    + ControlledServer::post("/c") + ControlledServer::get("/d"));
+    cr_assert(controlled.waitForRequests(2));
+    controlled.receiveAll();
+    controlled.server->closeAfterResponses();
+    controlled.released = {"/a", "/b", "/c", "/d"};
+    cr_assert(runUntilHolds(controlled.context, [&]() { return controlled.ended; }));
+    cr_assert_eq(controlled.startedPaths.size(), 2U);
+    cr_assert_eq(countResponses(controlled.received), 2U);
+    const size_t close = controlled.received.find("Connection: close");
+    cr_assert(close != std::string::npos && close > controlled.received.find("\r\n\r\n/a"));
+    cr_assert(runUntilHolds(controlled.context,
+                            [&]() { return controlled.server->openRequests() == 0; }));
 }
 
-// Bytes that are no request stand behind good ones. The good ones are answered, then the connection
-// ends; nothing of the rest is taken for a request.
-Test(request_http, malformed_bytes_behind_a_pipeline)
+// Malformed bytes follow valid pipelined requests. The valid ones are answered, then the connection
+// closes; nothing after the malformed bytes is parsed as a request.
+Test(request_http, malformed_bytes_after_pipelined_requests)
 {
-    PacedServer paced;
-    paced.send(PacedServer::get("/a") + "BAD\r\n\r\n" + PacedServer::get("/smuggled"));
-    cr_assert(paced.hasBegun(1));
-    paced.receiveAll();
-    paced.answered = {"/a", "/smuggled"};
-    cr_assert(runUntilHolds(paced.context, [&]() { return paced.ended; }));
-    cr_assert_eq(paced.begun.size(), 1U);
-    cr_assert_eq(countAnswers(paced.received), 2U);
-    cr_assert(paced.received.find("HTTP/1.1 400") != std::string::npos);
+    ControlledServer controlled;
+    controlled.send(ControlledServer::get("/a") + "BAD\r\n\r\n"
+                    + ControlledServer::get("/smuggled"));
+    cr_assert(controlled.waitForRequests(1));
+    controlled.receiveAll();
+    controlled.released = {"/a", "/smuggled"};
+    cr_assert(runUntilHolds(controlled.context, [&]() { return controlled.ended; }));
+    cr_assert_eq(controlled.startedPaths.size(), 1U);
+    cr_assert_eq(countResponses(controlled.received), 2U);
+    cr_assert(controlled.received.find("HTTP/1.1 400") != std::string::npos);
 }
 
-Test(request_http, a_pipeline_is_bounded)
+Test(request_http, number_of_concurrent_pipelined_requests_is_limited)
 {
-    PacedServer paced;
+    ControlledServer controlled;
     std::string many;
     for (int number = 0; number < 40; ++number) {
-        many += PacedServer::get("/" + std::to_string(number));
-        paced.answered.insert("/" + std::to_string(number));
+        many += ControlledServer::get("/" + std::to_string(number));
+        controlled.released.insert("/" + std::to_string(number));
     }
-    paced.answered.erase("/0");
-    paced.send(many);
-    paced.settle();
-    const size_t atOnce = paced.begun.size();
+    controlled.released.erase("/0");
+    controlled.send(many);
+    controlled.runBriefly();
+    const size_t atOnce = controlled.startedPaths.size();
     cr_assert(atOnce > 1 && atOnce < 40);
-    paced.receiveAll();
-    paced.answered.insert("/0");
-    cr_assert(runUntilHolds(paced.context, [&]() { return countAnswers(paced.received) == 40; }));
+    controlled.receiveAll();
+    controlled.released.insert("/0");
+    cr_assert(runUntilHolds(controlled.context,
+                            [&]() { return countResponses(controlled.received) == 40; }));
 }
--- a/test/unit/http/request_protocol_test.cpp
+++ b/test/unit/http/request_protocol_test.cpp
@@ -1,4 +1,4 @@
-/** @file request_protocol_test.cpp What the status of an answer promises to callers. */
+/** @file request_protocol_test.cpp Response statuses that guarantee that a request has not run. */
 
 #include "adapter/http/request_protocol.h"
 #include "support/test_section.h"
@@ -7,15 +7,16 @@
 
 using namespace wisteriahoist;
 
-// A booking runs twice: a backend server answers a bare 503 to a request that it has run, the node
-// passes it on, and the caller takes it for a promise and repeats. The node holds back what its
-// list names, so one status too few lets that happen, and one too many turns whole answers into
-// errors.
-Test(request_protocol, exactly_four_statuses_promise_that_nothing_has_run)
+// Guards against executing a request twice: a backend server responds with a bare 503 to a request
+// that it has executed, the node forwards it, and the caller takes it as "not executed" and
+// retries. The node does not forward the listed statuses. A missing one permits the duplicate; an
+// additional one turns valid responses into errors.
+Test(request_protocol, exactly_four_statuses_imply_not_executed)
 {
-    const std::set<unsigned> promising{408, 421, 429, 503};
+    const std::set<unsigned> notExecuted{408, 421, 429, 503};
     constexpr unsigned StatusEnd = 1000;
     for (unsigned status = 0; status < StatusEnd; ++status) {
-        cr_assert(impliesNotExecuted(status) == (promising.count(status) > 0), "status %u", status);
+        cr_assert(impliesNotExecuted(status) == (notExecuted.count(status) > 0), "status %u",
+                  status);
     }
 }
--- a/test/unit/http/server_stop_test.cpp
+++ b/test/unit/http/server_stop_test.cpp
@@ -1,4 +1,4 @@
-/** @file server_stop_test.cpp Requests that meet the end of a server. */
+/** @file server_stop_test.cpp Requests that arrive while an HTTP server stops. */
 
 #include "adapter/http/http_server.h"
 #include "support/raw_http_client.h"
@@ -14,53 +14,54 @@
 
 namespace {
 
-constexpr milliseconds LongTime{20000}; ///< Far above what a test takes; no verdict depends on it.
-constexpr std::string_view Answer = "\r\n\r\nanswered"; ///< Of the handler, whole.
+constexpr milliseconds LongTime{20000}; ///< Far longer than a test runs; no result depends on it.
+constexpr std::string_view ResponseEnd = "\r\n\r\nanswered"; ///< End of the header and the body.
 
-/** Whether the handler answers at once, or waits like one whose request is at another node. */
-enum class Work { AtOnce, Elsewhere };
+/** Whether the handler responds immediately or waits, as if the request was at another node. */
+enum class HandlerMode { Immediate, Waiting };
 
-/** A server whose event loop runs step by step, so that a stop can fall between any two steps. */
+/** Server whose event loop runs step by step, so that it can be stopped between any two steps. */
 class SteppedServer
 {
 public:
-    explicit SteppedServer(Work work)
-        : work_(work), server_(std::make_shared<HttpServer>(
+    explicit SteppedServer(HandlerMode mode)
+        : mode_(mode), server_(std::make_shared<HttpServer>(
                                context_, "127.0.0.1", 0, HttpLimits{},
-                               HttpHandler([this](HttpRequest) { return answer(); })))
+                               HttpHandler([this](HttpRequest) { return respond(); })))
     {
         server_->start();
     }
 
-    /** @return Whether there was something to do. */
+    /** Runs one event handler. @return Whether one was ready. */
     bool step()
     {
         context_.restart();
         return context_.poll_one() > 0;
     }
 
-    /** @return Whether there were @p count steps; a request that is elsewhere comes back amid them.
-     */
+    /** Runs @p count steps; if none is ready, lets a waiting handler complete. @return Whether
+     *  there were @p count steps. */
     bool steps(size_t count)
     {
         for (size_t done = 0; done < count; ++done) {
-            if (!step() && !(finishWork() && step())) {
+            if (!step() && !(completeWaiting() && step())) {
                 return false;
             }
         }
         return true;
     }
 
-    /** What is elsewhere comes back. @return Whether there was anything. */
-    bool finishWork() { return elsewhere_.cancel() > 0; }
+    /** Completes the wait of handlers with HandlerMode::Waiting. @return Whether any was waiting.
+     */
+    bool completeWaiting() { return waitTimer_.cancel() > 0; }
 
-    /** Runs until @p holds, or for long. */
+    /** Runs until @p holds returns true, at most for LongTime. @return Whether it holds. */
     bool runUntil(RawHttpClient &caller, const std::function<bool()> &holds)
     {
         const auto end = std::chrono::steady_clock::now() + LongTime;
         for (caller.pollOnce(); !holds() && std::chrono::steady_clock::now() < end;
              caller.pollOnce()) {
-            finishWork();
+            completeWaiting();
             context_.restart();
             context_.run_for(milliseconds(1));
         }
@@ -68,35 +69,35 @@
     }
 
     HttpServer &server() { return *server_; }
-    size_t begun() const { return begun_; }
+    size_t dispatched() const { return dispatched_; }
 
 private:
-    asio::awaitable<HttpResponse> answer()
+    asio::awaitable<HttpResponse> respond()
     {
-        ++begun_;
-        if (work_ == Work::Elsewhere) {
-            elsewhere_.expires_after(LongTime);
+        ++dispatched_;
+        if (mode_ == HandlerMode::Waiting) {
+            waitTimer_.expires_after(LongTime);
             beast::error_code ignored;
-            co_await elsewhere_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+            co_await waitTimer_.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
         }
         HttpResponse response(http::status::ok, 11);
         response.body() = "answered";
         co_return response;
     }
 
-    Work work_;
+    HandlerMode mode_;
     asio::io_context context_{1};
-    asio::steady_timer elsewhere_{context_};
+    asio::steady_timer waitTimer_{context_};
     std::shared_ptr<HttpServer> server_;
-    size_t begun_ = 0;
+    size_t dispatched_ = 0;
 };
 
-/** How a request comes. */
+/** Describes how a request arrives. */
 struct Arrival {
     const char *name;
-    bool kept;         ///< On a connection that has carried a request before.
-    std::string bytes; ///< Before the connections are looked at for the last time.
-    std::string rest;  ///< Behind that.
+    bool kept;         ///< Whether the connection has carried a request before.
+    std::string bytes; ///< Bytes that arrive before closeIdle().
+    std::string rest;  ///< Bytes that arrive after closeIdle().
 };
 
 const std::string Head = "GET /x HTTP/1.1\r\nHost: h\r\n";
@@ -104,138 +105,140 @@
 const std::string LongField = "X: " + std::string(12000, 'x') + "\r\n"; ///< More than one read.
 
 const std::vector<Arrival> OnNewConnections{
-        {"on a new connection", false, Head + "\r\n", ""},
-        {"on a new connection, in several reads", false, Head + LongField + "\r\n", ""},
+        {"new connection", false, Head + "\r\n", ""},
+        {"new connection, several reads", false, Head + LongField + "\r\n", ""},
 };
 
 const std::vector<Arrival> OnKeptConnections{
-        {"on a kept connection", true, Head + "\r\n", ""},
-        {"on a kept connection, in several reads", true, Head + LongField + "\r\n", ""},
+        {"kept-alive connection", true, Head + "\r\n", ""},
+        {"kept-alive connection, several reads", true, Head + LongField + "\r\n", ""},
         {"with a body", true, PostHead + "\r\nbody", ""},
-        {"sent ahead", true, Head + "\r\n" + Head + LongField + "\r\n", ""},
+        {"pipelined", true, Head + "\r\n" + Head + LongField + "\r\n", ""},
 };
 
-const std::vector<Arrival> InParts{
-        {"stopped amid its head", true, "GET /x HT", "TP/1.1\r\nHost: h\r\n\r\n"},
-        {"stopped amid its body", true, PostHead + "\r\nbo", "dy"},
+const std::vector<Arrival> PartialRequests{
+        {"stopped in the middle of the header section", true, "GET /x HT",
+         "TP/1.1\r\nHost: h\r\n\r\n"},
+        {"stopped in the middle of the body", true, PostHead + "\r\nbo", "dy"},
 };
 
-const std::string AsksForLeave = PostHead + "Expect: 100-continue\r\n\r\n";
+const std::string ExpectContinueHead = PostHead + "Expect: 100-continue\r\n\r\n";
 
-const std::vector<Arrival> WithLeave{
-        {"a body that waits for leave", true, AsksForLeave, "body"},
-        {"a body that waits for leave, behind another request", true, Head + "\r\n" + AsksForLeave,
-         "body"},
+const std::vector<Arrival> WithExpectContinue{
+        {"body after 100 Continue", true, ExpectContinueHead, "body"},
+        {"body after 100 Continue, pipelined behind another request", true,
+         Head + "\r\n" + ExpectContinueHead, "body"},
 };
 
-/** What became of the requests of one arrival. */
+/** Result of one stop of the server. */
 struct Outcome {
-    bool stoppedAmid = false; ///< The server had more to do when it was stopped.
-    bool ended = false;       ///< The caller's connection has ended.
-    size_t begun = 0;
-    size_t answered = 0;
-    size_t left = 0; ///< Requests that still count as open when the caller has gone.
+    bool stoppedEarly = false; ///< Whether event handlers were still ready at the stop.
+    bool ended = false;        ///< Whether the server has closed the connection.
+    size_t dispatched = 0;     ///< Requests dispatched to the handler.
+    size_t answered = 0;       ///< Responses received by the client.
+    size_t stillOpen = 0; ///< Requests still counted as open after the client has disconnected.
 };
 
-/** Stops the server when it has run @p steps since the request arrived. */
-Outcome stopAfter(size_t steps, const Arrival &arrival, Work work)
+/** Stops the server @p steps event handlers after the request has arrived. */
+Outcome stopAfter(size_t steps, const Arrival &arrival, HandlerMode mode)
 {
-    SteppedServer stepped(work);
-    RawHttpClient caller(stepped.server().port());
+    SteppedServer steppedServer(mode);
+    RawHttpClient caller(steppedServer.server().port());
     size_t before = 0;
     if (arrival.kept) {
         caller.send(Head + "\r\n");
-        stepped.runUntil(caller, [&]() { return caller.count(Answer) == 1; });
+        steppedServer.runUntil(caller, [&]() { return caller.count(ResponseEnd) == 1; });
         before = 1;
     }
-    stepped.server().closeAfterResponses();
+    steppedServer.server().closeAfterResponses();
     caller.send(arrival.bytes);
     Outcome outcome;
-    outcome.stoppedAmid = stepped.steps(steps);
-    stepped.server().closeIdle();
+    outcome.stoppedEarly = steppedServer.steps(steps);
+    steppedServer.server().closeIdle();
     caller.send(arrival.rest);
-    outcome.ended = stepped.runUntil(caller, [&]() { return caller.hasEnded(); });
+    outcome.ended = steppedServer.runUntil(caller, [&]() { return caller.hasEnded(); });
     caller.leave();
-    stepped.runUntil(caller, [&]() { return stepped.server().openConnections() == 0; });
-    outcome.begun = stepped.begun() - before;
-    outcome.answered = caller.count(Answer) - before;
-    outcome.left = stepped.server().openRequests();
+    steppedServer.runUntil(caller, [&]() { return steppedServer.server().openConnections() == 0; });
+    outcome.dispatched = steppedServer.dispatched() - before;
+    outcome.answered = caller.count(ResponseEnd) - before;
+    outcome.stillOpen = steppedServer.server().openRequests();
     return outcome;
 }
 
-/** @return Whether the caller got an answer for all that was begun, and nothing is left of it. */
+/** @return Whether at least one request and each dispatched one was answered, none is still counted
+ *          as open, and the connection was closed. */
 bool isAnswered(const Outcome &outcome)
 {
-    return outcome.ended && outcome.answered > 0 && outcome.begun == outcome.answered
-           && outcome.left == 0;
+    return outcome.ended && outcome.answered > 0 && outcome.dispatched == outcome.answered
+           && outcome.stillOpen == 0;
 }
 
-/** @return The moments of a stop at which @p holds is false, in words. */
-std::string findMoments(const std::vector<Arrival> &arrivals,
-                        const std::function<bool(const Outcome &)> &holds)
+/** @return Description of all stop positions for which @p holds returns false; empty if none. */
+std::string findFailures(const std::vector<Arrival> &arrivals,
+                         const std::function<bool(const Outcome &)> &holds)
 {
-    std::string moments;
+    std::string failures;
     for (const Arrival &arrival : arrivals) {
-        for (const Work work : {Work::AtOnce, Work::Elsewhere}) {
-            Outcome outcome{.stoppedAmid = true};
-            for (size_t steps = 0; outcome.stoppedAmid; ++steps) {
-                outcome = stopAfter(steps, arrival, work);
+        for (const HandlerMode mode : {HandlerMode::Immediate, HandlerMode::Waiting}) {
+            Outcome outcome{.stoppedEarly = true};
+            for (size_t steps = 0; outcome.stoppedEarly; ++steps) {
+                outcome = stopAfter(steps, arrival, mode);
                 if (!holds(outcome)) {
-                    moments += std::string("\n") + arrival.name
-                               + (work == Work::AtOnce ? "" : ", passed on") + ", after "
-                               + std::to_string(steps) + " steps: begun "
-                               + std::to_string(outcome.begun) + ", answered "
-                               + std::to_string(outcome.answered) + ", left open "
-                               + std::to_string(outcome.left);
+                    failures += std::string("\n") + arrival.name
+                                + (mode == HandlerMode::Immediate ? "" : ", forwarded") + ", after "
+                                + std::to_string(steps) + " steps: dispatched "
+                                + std::to_string(outcome.dispatched) + ", answered "
+                                + std::to_string(outcome.answered) + ", still open "
+                                + std::to_string(outcome.stillOpen);
                 }
             }
         }
     }
-    return moments;
+    return failures;
 }
 
 } // namespace
 
-// A caller's connection ends without an answer, and its request runs all the same. A stop takes the
-// connection for idle and closes it, while the bytes of the request have been read but not looked
-// at; they are parsed afterwards and passed on, and the answer finds no connection. The request
-// then counts as open for good, and the process ends only when it must.
-Test(server_stop, what_was_passed_on_is_answered)
+// Guards against executing a request whose connection closes without a response. The server
+// considered the connection idle and closed it while bytes of a request had been read but not
+// parsed. They were parsed and dispatched afterwards, without a connection for the response. The
+// request then counted as open forever, and the process exited only at its stop deadline.
+Test(server_stop, dispatched_requests_are_answered)
 {
     for (const std::vector<Arrival> &arrivals : {OnNewConnections, OnKeptConnections}) {
-        const std::string moments = findMoments(arrivals, [](const Outcome &outcome) {
-            return outcome.begun == outcome.answered && outcome.left == 0;
+        const std::string failures = findFailures(arrivals, [](const Outcome &outcome) {
+            return outcome.dispatched == outcome.answered && outcome.stillOpen == 0;
         });
-        cr_assert(moments.empty(), "%s", moments.c_str());
+        cr_assert(failures.empty(), "%s", failures.c_str());
     }
 }
 
-// A caller sends on a connection that it has used before, and the connection ends under it: some or
-// all of the request's bytes have arrived when the connection is looked at for the last time, but
-// no whole head has been parsed, so it counts as idle. The caller can't tell that from a request
-// that was lost, and one that must not run twice is not sent again.
-Test(server_stop, what_has_begun_to_arrive_is_answered)
+// Guards against closing a kept-alive connection on which a request is arriving: some or all of its
+// bytes have arrived at the last check, but no complete header section has been parsed, so the
+// connection counts as idle. The caller cannot distinguish this from a lost request and does not
+// resend one that must not run twice.
+Test(server_stop, partially_received_requests_are_answered)
 {
-    for (const std::vector<Arrival> &arrivals : {OnKeptConnections, InParts}) {
-        const std::string moments = findMoments(arrivals, isAnswered);
-        cr_assert(moments.empty(), "%s", moments.c_str());
+    for (const std::vector<Arrival> &arrivals : {OnKeptConnections, PartialRequests}) {
+        const std::string failures = findFailures(arrivals, isAnswered);
+        cr_assert(failures.empty(), "%s", failures.c_str());
     }
 }
 
-// A caller asks for leave to send its body, and a node that stops gives it, but reads no more: the
-// caller waits for an answer until the node ends, and the node waits for that request. The
-// go-ahead was taken for an answer, behind which nothing is read while a server stops.
-Test(server_stop, a_body_that_was_given_leave_is_read)
+// Guards against a stopping server that sends 100 Continue but does not read the body: the caller
+// waits for a response until the node exits, and the node waits for that request. The interim
+// response was treated like a final one, after which a stopping server does not read.
+Test(server_stop, body_after_100_continue_is_read)
 {
-    const std::string moments = findMoments(WithLeave, isAnswered);
-    cr_assert(moments.empty(), "%s", moments.c_str());
+    const std::string failures = findFailures(WithExpectContinue, isAnswered);
+    cr_assert(failures.empty(), "%s", failures.c_str());
 }
 
-// A caller has connected and sent its request, and its connection is reset: the server had not come
-// to accepting it when it stopped listening. With little processor time that is the fate of whoever
-// comes in the last moments of a stop.
-Test(server_stop, who_has_connected_is_answered)
+// Guards against resetting connections in the listen queue: a caller has connected and sent its
+// request, but the server stops listening before it has accepted the connection. Under CPU pressure
+// this affects callers that connect in the last moments of a stop.
+Test(server_stop, connections_in_the_listen_queue_are_answered)
 {
-    const std::string moments = findMoments(OnNewConnections, isAnswered);
-    cr_assert(moments.empty(), "%s", moments.c_str());
+    const std::string failures = findFailures(OnNewConnections, isAnswered);
+    cr_assert(failures.empty(), "%s", failures.c_str());
 }
--- a/test/unit/signals/event_log_test.cpp
+++ b/test/unit/signals/event_log_test.cpp
@@ -1,4 +1,4 @@
-/** @file event_log_test.cpp One JSON line for each change of state. */
+/** @file event_log_test.cpp Format and severity filter of the JSON log. */
 
 #include "adapter/log/event_log.h"
 #include "support/json_text.h"
@@ -25,7 +25,7 @@
     cr_assert(object.at("draining").as_bool());
 }
 
-Test(signals, logOutputDropsWhatIsBelowItsSeverity)
+Test(signals, logOutputFiltersBySeverity)
 {
     std::ostringstream stream;
     {
--- a/test/unit/signals/metrics_test.cpp
+++ b/test/unit/signals/metrics_test.cpp
@@ -1,4 +1,4 @@
-/** @file metrics_test.cpp The metrics page and the distributions behind it. */
+/** @file metrics_test.cpp The metrics page, label limits and distributions. */
 
 #include "adapter/metrics/metric_registry.h"
 #include "support/test_section.h"
@@ -22,7 +22,7 @@
 Test(signals, metricsPageIsPrometheusText)
 {
     MetricRegistry registry;
-    SECTION("a label's value and a help text with the characters that end them")
+    SECTION("special characters in label values and help texts are escaped")
     {
         registry.addCounter("wh_a_total", "first\nsecond \\ \"third\"",
                             {{"path", "a\"b\\c\nd"}, {"zone", "x"}})
@@ -32,7 +32,7 @@
         cr_assert(hasLine(page, "# TYPE wh_a_total counter"));
         cr_assert(hasLine(page, "wh_a_total{path=\"a\\\"b\\\\c\\nd\",zone=\"x\"} 3"));
     }
-    SECTION("samples of one family stand under one head")
+    SECTION("samples of one family follow one TYPE line")
     {
         registry.addGauge("wh_g", "depth", {{"ring", "a"}}).set(1.5);
         registry.addGauge("wh_g", "depth", {{"ring", "b"}}).set(-2);
@@ -41,7 +41,7 @@
         cr_assert(hasLine(page, "wh_g{ring=\"a\"} 1.5"));
         cr_assert(hasLine(page, "wh_g{ring=\"b\"} -2"));
     }
-    SECTION("a summary without values says so instead of zero")
+    SECTION("quantiles of a summary without values are NaN")
     {
         registry.addDistribution("wh_d_seconds", "time");
         const std::string page = registry.render(at(0));
@@ -53,8 +53,8 @@
 
 Test(signals, labelValuesAreBounded)
 {
-    // What the operator sees: a caller that makes up reasons or paths does not grow the page.
-    // Each new value takes a slot; those beyond the bound are counted together as "other".
+    // Guards against unlimited growth of the metrics page by callers that send arbitrary reasons or
+    // paths. Each new value occupies a slot; values beyond the limit are counted as "other".
     LabelledCounter counter;
     for (size_t index = 0; index < LabelledCounter::MaxValues + 5; ++index) {
         counter.add("value-" + std::to_string(index));
@@ -72,17 +72,17 @@
     cr_assert_eq(total, LabelledCounter::MaxValues + 6);
 }
 
-Test(signals, distributionTellsOfItsLatestWindow)
+Test(signals, distributionReportsItsLatestWindow)
 {
     Distribution distribution(milliseconds(1000));
-    SECTION("values from 1 to 1000, one each millisecond; the next one closes the window")
+    SECTION("values from 1 to 1000, one per millisecond; the next value closes the window")
     {
         for (int64_t index = 0; index < 1000; ++index) {
             distribution.observe(static_cast<double>(index * 617 % 1000 + 1), at(index));
         }
         cr_assert_not(distribution.read(at(999)).recent);
         distribution.observe(1, at(1000));
-        const DistributionReading reading = distribution.read(at(1000));
+        const DistributionSnapshot reading = distribution.read(at(1000));
         cr_assert(reading.recent);
         cr_assert_eq(reading.count, 1001);
         cr_assert_float_eq(reading.quantiles[0], 500, 25);
@@ -91,7 +91,7 @@
         cr_assert_float_eq(reading.max, 1000, 0.1);
         cr_assert_float_eq(reading.perSecond, 1000, 0.1);
     }
-    SECTION("nothing more comes: the old figures are not shown as present ones")
+    SECTION("without further values, the old window is not reported as recent")
     {
         cr_assert_not(distribution.read(at(3001)).recent);
     }
@@ -103,7 +103,7 @@
     distribution.observe(5, at(0));
     distribution.observe(2, at(10));
     distribution.observe(1, at(1000));
-    const DistributionReading reading = distribution.read(at(1000));
+    const DistributionSnapshot reading = distribution.read(at(1000));
     cr_assert_float_eq(reading.quantiles[0], 5, 1e-9);
     cr_assert_float_eq(reading.quantiles[2], 5, 1e-9);
 }
--- a/test/unit/signals/rate_limited_event_test.cpp
+++ b/test/unit/signals/rate_limited_event_test.cpp
@@ -1,4 +1,5 @@
-/** @file rate_limited_event_test.cpp Lines that a budget leaves out are counted in the log. */
+/** @file rate_limited_event_test.cpp Rate limit of log events and the report of dropped lines.
+ */
 
 #include "adapter/log/rate_limited_event.h"
 #include "support/json_text.h"
@@ -29,8 +30,9 @@
 
 } // namespace
 
-// A log with lines missing read as if nothing had happened meanwhile.
-Test(signals, a_row_of_dropped_lines_ends_with_one_that_counts_them)
+// Guards against silent gaps in the log: without a report of dropped lines, the log looked as if
+// nothing had happened in the meantime.
+Test(signals, dropped_log_lines_are_reported)
 {
     RateLimitedEvent event(LogEvent::RangesOffered, 1, 2);
     const auto logAt = [&event](TimePoint now) {
@@ -38,7 +40,7 @@
             event.log({{"ranges", uint64_t(1)}});
         }
     };
-    SECTION("nothing is dropped within the budget")
+    SECTION("no line is dropped within the rate limit")
     {
         const auto lines = linesOf([&]() {
             logAt(Start);
@@ -47,7 +49,7 @@
         });
         cr_assert_eq(lines.size(), 2);
     }
-    SECTION("beyond it lines are dropped, and nothing is said at once")
+    SECTION("above the limit, lines are dropped and not reported immediately")
     {
         const auto lines = linesOf([&]() {
             logAt(Start + milliseconds(100));
@@ -57,7 +59,7 @@
         cr_assert(lines.empty());
         cr_assert_eq(event.dropped(), 2);
     }
-    SECTION("a second later the count comes before the next line, or without one")
+    SECTION("after a second, the count is logged before the next line or by logDropped")
     {
         const auto lines = linesOf([&]() { logAt(Start + std::chrono::seconds(3)); });
         cr_assert_eq(lines.size(), 2);
@@ -67,7 +69,7 @@
         cr_assert_eq(lines.front().at("since_ms").to_number<int>(), 2900);
         cr_assert(linesOf([&]() { event.logDropped(Start + std::chrono::seconds(9)); }).empty());
     }
-    SECTION("while lines go on being dropped, the counts leave room for the event's own lines")
+    SECTION("the reports do not count against the rate limit of the event's own lines")
     {
         const auto lines = linesOf([&]() {
             for (int tenth = 0; tenth < 100; ++tenth) {
--- a/test/unit/signals/signals_settings_test.cpp
+++ b/test/unit/signals/signals_settings_test.cpp
@@ -1,4 +1,4 @@
-/** @file signals_settings_test.cpp The table [signals] of a node's settings. */
+/** @file signals_settings_test.cpp Reading of the [signals] table of a node's settings. */
 
 #include "adapter/settings/signals_settings.h"
 #include "support/test_section.h"
@@ -21,14 +21,14 @@
 Test(signals, settingsAreReadAndChecked)
 {
     std::vector<Finding> findings;
-    SECTION("nothing given: no traces, and the log tells of expected changes")
+    SECTION("defaults: tracing disabled, log severity info")
     {
         const SignalsSettings settings = read("", findings);
         cr_assert(findings.empty());
         cr_assert_not(settings.trace.isEnabled());
         cr_assert(settings.severity == LogSeverity::Info);
     }
-    SECTION("a collector and a share in thousandths")
+    SECTION("a collector and a sample ratio in permille")
     {
         const SignalsSettings settings = read("log_severity = \"warning\"\nsample_permille = 10\n"
                                               "otlp_ip = \"127.0.0.1\"\notlp_port = 4318\n",
@@ -38,7 +38,7 @@
         cr_assert_float_eq(settings.trace.sampleRatio, 0.01, 1e-9);
         cr_assert(settings.severity == LogSeverity::Warning);
     }
-    SECTION("a name instead of an IP number, two sinks and an unknown entry: all at once")
+    SECTION("host name instead of IP address, two sinks, unknown entry: all are reported")
     {
         read("otlp_ip = \"collector\"\ntrace_file = \"spans\"\nverbose = true\n", findings);
         cr_assert_eq(findings.size(), 3);
--- a/test/unit/signals/span_export_test.cpp
+++ b/test/unit/signals/span_export_test.cpp
@@ -1,4 +1,4 @@
-/** @file span_export_test.cpp Spans on their way to the collector. */
+/** @file span_export_test.cpp OTLP encoding of spans and the ring buffer to the exporter. */
 
 #include "adapter/trace/otlp_encoder.h"
 #include "support/json_text.h"
@@ -24,19 +24,19 @@
 
 } // namespace
 
-Test(signals, otlpBodyHasTheSchemasShape)
+Test(signals, otlpBodyMatchesTheSchema)
 {
     SpanResource resource{NodeId(7), "domain-1", "0.1.0", {}};
     resource.bootAt = std::chrono::system_clock::time_point(std::chrono::seconds(1700000000));
     const auto body = boost::json::parse(encodeOtlp(resource, {makeSpan()}));
     const auto &resourceSpans = body.at("resourceSpans").at(0);
-    SECTION("the resource names the node")
+    SECTION("the resource identifies the node")
     {
         const auto &attributes = resourceSpans.at("resource").at("attributes").as_array();
         cr_assert(attributes.at(0).at("key").as_string() == "service.name");
         cr_assert(attributes.at(2).at("value").at("stringValue").as_string() == "7");
     }
-    SECTION("ids are hexadecimal, times are strings of nanoseconds since 1970")
+    SECTION("ids are hexadecimal, times are strings of Unix nanoseconds")
     {
         const auto &span = resourceSpans.at("scopeSpans").at(0).at("spans").at(0);
         cr_assert(span.at("traceId").as_string() == "4bf92f3577b34da6a3ce929d0e0e4736");
@@ -52,8 +52,8 @@
 
 Test(signals, fullRingDropsSpansAndCountsThem)
 {
-    // What the caller sees: nothing; its request never waits for the collector. The exporter
-    // hangs, the ring fills, each further span is dropped and counted, the older ones are kept.
+    // Guards against requests that wait for the collector: the exporter hangs and the ring becomes
+    // full. Further spans must be dropped and counted, and the older ones kept.
     Counter dropped;
     SpanRing ring(dropped);
     for (size_t index = 0; index < SpanRing::Capacity + 3; ++index) {
@@ -65,7 +65,7 @@
     Span oldest;
     cr_assert(ring.pop(oldest));
     cr_assert_eq(oldest.context.span, 1);
-    SECTION("a span of a trace that is not sampled takes no place")
+    SECTION("a span of an unsampled trace is not added")
     {
         Span span = makeSpan();
         span.context.sampled = false;
--- a/test/unit/signals/trace_context_test.cpp
+++ b/test/unit/signals/trace_context_test.cpp
@@ -1,4 +1,4 @@
-/** @file trace_context_test.cpp The traceparent header and who decides about sampling. */
+/** @file trace_context_test.cpp Parsing of the traceparent header and trace sampling. */
 
 #include "adapter/trace/trace_context.h"
 #include "support/test_section.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Counts up from a given number. */
+/** Returns consecutive numbers from a given one. */
 class CountingSource : public RandomSource
 {
 public:
@@ -39,9 +39,9 @@
         cr_assert(parseTraceparent(Valid.substr(0, 53) + "03")->sampled);
         cr_assert(parseTraceparent("01" + Valid.substr(2) + "-more").has_value());
     }
-    SECTION("refused")
+    SECTION("rejected")
     {
-        const std::array<std::string, 11> refused{
+        const std::array<std::string, 11> rejected{
                 "",
                 Valid.substr(0, 54),
                 Valid + "0",
@@ -54,7 +54,7 @@
                 "00-4bf92f3577b34da6a3ce929d0e0e473g-00f067aa0ba902b7-01",
                 "00_4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01",
         };
-        for (const std::string &text : refused) {
+        for (const std::string &text : rejected) {
             cr_assert_not(parseTraceparent(text).has_value(), "%s", text.c_str());
         }
     }
@@ -63,14 +63,14 @@
 Test(signals, samplingHonoursTheIncomingFlag)
 {
     CountingSource source(0);
-    SECTION("a caller's decision stands, whatever the declared share is")
+    SECTION("the caller's flag is kept, independent of the sample ratio")
     {
         TraceSampler never(source, 0);
         TraceSampler always(source, 1);
         cr_assert(never.begin(Valid).sampled);
         cr_assert_not(always.begin(Valid.substr(0, 53) + "00").sampled);
     }
-    SECTION("a request without one begins a trace with ids that are not zero")
+    SECTION("a request without a valid traceparent starts a trace with non-zero ids")
     {
         TraceSampler always(source, 1);
         const TraceContext context = always.begin("rubbish");
@@ -80,7 +80,7 @@
         TraceSampler never(source, 0);
         cr_assert_not(never.begin("").sampled);
     }
-    SECTION("a span id is never zero, though the source gives one")
+    SECTION("a span id is never zero, even if the random source returns zero")
     {
         CountingSource zero(0);
         cr_assert_eq(TraceSampler(zero, 1).makeSpanId(), 1);
