--- a/src/adapter/http/http_client.cpp
+++ b/src/adapter/http/http_client.cpp
@@ -226,7 +226,7 @@
         }
         // A response that is delimited by the end of the connection cannot be distinguished from a
         // truncated one.
-        if (!headOnly && parser.need_eof() && !limits_.unframed) {
+        if (!headOnly && parser.need_eof() && !limits_.allowUnframed) {
             co_return Failure{FailureCode::Malformed,
                               "response has neither Content-Length nor chunked coding"};
         }
--- a/src/adapter/http/http_client.h
+++ b/src/adapter/http/http_client.h
@@ -68,7 +68,8 @@
     std::chrono::seconds probeInterval{1}; ///< TCP_KEEPINTVL: time between probes.
     uint32_t probes = 3;     ///< TCP_KEEPCNT: unanswered probes before the connection is closed.
     milliseconds connect{0}; ///< Connect timeout; 0: only the timeout of the exchange applies.
-    bool unframed = false;   ///< Accept responses that are delimited by the end of the connection.
+    bool allowUnframed
+            = false; ///< Accept responses that are delimited by the end of the connection.
 };
 
 /**
--- a/src/adapter/trace/otlp_encoder.cpp
+++ b/src/adapter/trace/otlp_encoder.cpp
@@ -42,13 +42,13 @@
 
 /** @return Unix time in nanoseconds, as a string because JSON numbers cannot represent it exactly.
  */
-std::string formatTime(std::chrono::system_clock::time_point bootAt, TimePoint time)
+std::string formatTime(std::chrono::system_clock::time_point bootTime, TimePoint time)
 {
-    const Duration sinceEpoch = bootAt.time_since_epoch() + time.time_since_epoch();
+    const Duration sinceEpoch = bootTime.time_since_epoch() + time.time_since_epoch();
     return std::to_string(sinceEpoch.count());
 }
 
-json::object makeSpan(std::chrono::system_clock::time_point bootAt, const Span &span)
+json::object makeSpan(std::chrono::system_clock::time_point bootTime, const Span &span)
 {
     json::object object;
     object["traceId"] = formatTraceId(span.context.trace);
@@ -58,8 +58,8 @@
     }
     object["name"] = spanStepName(span.step);
     object["kind"] = spanKind(span.step);
-    object["startTimeUnixNano"] = formatTime(bootAt, span.start);
-    object["endTimeUnixNano"] = formatTime(bootAt, span.end);
+    object["startTimeUnixNano"] = formatTime(bootTime, span.start);
+    object["endTimeUnixNano"] = formatTime(bootTime, span.end);
     json::array attributes;
     attributes.push_back(makeAttribute("wisteriahoist.service", span.service));
     attributes.push_back(makeAttribute("wisteriahoist.outcome", span.outcome));
@@ -91,7 +91,7 @@
 {
     json::array encoded;
     for (const Span &span : spans) {
-        encoded.push_back(makeSpan(resource.bootAt, span));
+        encoded.push_back(makeSpan(resource.bootTime, span));
     }
     json::object scopeSpans;
     scopeSpans["scope"] = json::object{{"name", "wisteriahoist"}, {"version", resource.build}};
--- a/src/adapter/trace/otlp_encoder.h
+++ b/src/adapter/trace/otlp_encoder.h
@@ -14,7 +14,7 @@
     NodeId node;
     std::string failureDomain;
     std::string build;
-    std::chrono::system_clock::time_point bootAt; ///< Wall-clock time at the origin of TimePoint.
+    std::chrono::system_clock::time_point bootTime; ///< Wall-clock time at the origin of TimePoint.
 };
 
 std::string_view spanStepName(SpanStep step);
--- a/src/decision/request/outcome_table.cpp
+++ b/src/decision/request/outcome_table.cpp
@@ -33,9 +33,9 @@
         return "deadline-over";
     case RequestEnd::ConnectionLost:
         return "connection-lost";
-    case RequestEnd::BadAnswer:
+    case RequestEnd::InvalidResponse:
         return "bad-answer";
-    case RequestEnd::CallerGone:
+    case RequestEnd::CallerDisconnected:
         return "caller-gone";
     case RequestEnd::IdempotencyKeyMissing:
         return "idempotency-key-missing";
@@ -60,7 +60,7 @@
     switch (end) {
     case RequestEnd::NotOwner:
         return 421;
-    case RequestEnd::CallerGone:
+    case RequestEnd::CallerDisconnected:
         return 499;
     case RequestEnd::DeadlineOver:
         return 504;
@@ -105,7 +105,7 @@
     if (isAboutEarlierSending(end)) {
         return 409;
     }
-    return end == RequestEnd::BadAnswer ? 502 : 504;
+    return end == RequestEnd::InvalidResponse ? 502 : 504;
 }
 
 /** @return Whether the request provably did not start to run at any backend server. */
--- a/src/decision/request/outcome_table.h
+++ b/src/decision/request/outcome_table.h
@@ -23,18 +23,18 @@
 
 /** How a request ended. */
 enum class RequestEnd {
-    None,           ///< Without a failure.
-    BackendRefused, ///< The backend server stated that it did not run it (load shed, fenced).
-    NotOwner,       ///< This gate does not own the key.
-    NoLease,        ///< This gate's lease has expired.
-    NoBackend,      ///< There is no backend server, or it is draining.
-    Overloaded,     ///< A bounded queue or ring buffer was full.
-    QueueTimeout,   ///< It was queued for the longest time that the rule allows.
-    Unreachable,    ///< No connection could be opened.
-    DeadlineOver,   ///< The deadline passed.
-    ConnectionLost, ///< The connection ended, or was silent for too long.
-    BadAnswer,      ///< The response violated the protocol, or its length did not match.
-    CallerGone,     ///< The caller closed its connection.
+    None,               ///< Without a failure.
+    BackendRefused,     ///< The backend server stated that it did not run it (load shed, fenced).
+    NotOwner,           ///< This gate does not own the key.
+    NoLease,            ///< This gate's lease has expired.
+    NoBackend,          ///< There is no backend server, or it is draining.
+    Overloaded,         ///< A bounded queue or ring buffer was full.
+    QueueTimeout,       ///< It was queued for the longest time that the rule allows.
+    Unreachable,        ///< No connection could be opened.
+    DeadlineOver,       ///< The deadline passed.
+    ConnectionLost,     ///< The connection ended, or was silent for too long.
+    InvalidResponse,    ///< The response violated the protocol, or its length did not match.
+    CallerDisconnected, ///< The caller closed its connection.
     IdempotencyKeyMissing,     ///< The rule requires an idempotency key.
     IdempotencyKeyMalformed,   ///< The idempotency key cannot be parsed.
     IdempotencyKeyReused,      ///< The idempotency key was used for a different request.
--- a/src/duty/backend_gate.cpp
+++ b/src/duty/backend_gate.cpp
@@ -27,7 +27,7 @@
 {
     PoolLimits limits;
     limits.connect = ConnectTimeout;
-    limits.unframed = true;
+    limits.allowUnframed = true;
     limits.idleTime = std::chrono::seconds(8);
     return limits;
 }
@@ -89,7 +89,7 @@
 RequestEnd BackendGate::check(const v1::HopRequest &request, const Call &call, TimePoint now) const
 {
     if (call.cancelled) {
-        return RequestEnd::CallerGone;
+        return RequestEnd::CallerDisconnected;
     }
     if ((rejectsKeyless_ && !request.keyed()) || mayOutlive(call.deadline, now)
         || monitor_.state() != BackendState::Ready || monitor_.service() != request.service()) {
@@ -194,7 +194,7 @@
         co_return RequestEnd::None;
     }
     admission_.remove(item.id);
-    co_return call->cancelled ? RequestEnd::CallerGone : RequestEnd::QueueTimeout;
+    co_return call->cancelled ? RequestEnd::CallerDisconnected : RequestEnd::QueueTimeout;
 }
 
 asio::awaitable<void> BackendGate::sendToBackend(const v1::HopRequest &request, Call &call,
@@ -246,7 +246,7 @@
     } else if (kind != ResponseKind::Complete || impliesNotExecuted(answer.result_int())) {
         // A 503 of a backend server without the not-executed marker does not prove that the request
         // has not run. Passed on, it would be taken as such a proof, and a booking made twice.
-        fillOutcome(reply, RequestStage::Sent, RequestEnd::BadAnswer);
+        fillOutcome(reply, RequestStage::Sent, RequestEnd::InvalidResponse);
     } else {
         fillResponse(reply, std::move(answer), request.method() == "HEAD");
         breaker_.onExecuted();
--- a/src/duty/gate_message.cpp
+++ b/src/duty/gate_message.cpp
@@ -77,7 +77,7 @@
 RequestEnd requestEndOfExchange(FailureCode code, bool cancelled)
 {
     if (cancelled) {
-        return RequestEnd::CallerGone;
+        return RequestEnd::CallerDisconnected;
     }
     switch (code) {
     case FailureCode::Unavailable:
@@ -85,7 +85,7 @@
     case FailureCode::DeadlineExceeded:
         return RequestEnd::DeadlineOver;
     case FailureCode::Malformed:
-        return RequestEnd::BadAnswer;
+        return RequestEnd::InvalidResponse;
     default:
         return RequestEnd::ConnectionLost;
     }
--- a/src/duty/ingress_duty.cpp
+++ b/src/duty/ingress_duty.cpp
@@ -28,7 +28,7 @@
     case FailureCode::DeadlineExceeded:
         return makeOutcomeReply(RequestStage::Sent, RequestEnd::DeadlineOver);
     case FailureCode::Malformed:
-        return makeOutcomeReply(RequestStage::Sent, RequestEnd::BadAnswer);
+        return makeOutcomeReply(RequestStage::Sent, RequestEnd::InvalidResponse);
     default:
         return makeOutcomeReply(RequestStage::Sent, RequestEnd::ConnectionLost);
     }
--- a/src/duty/peer_link.cpp
+++ b/src/duty/peer_link.cpp
@@ -40,7 +40,7 @@
     caller_.limitConnect(ConnectTimeout);
 }
 
-void PeerLink::serve(const std::string &path, Answer answer)
+void PeerLink::serve(const std::string &path, Handler answer)
 {
     answers_[path] = std::move(answer);
 }
--- a/src/duty/peer_link.h
+++ b/src/duty/peer_link.h
@@ -16,7 +16,7 @@
     PeerLink(asio::io_context &context, const std::string &ip, uint16_t port);
 
     /** Registers the handler of @p path. @pre Called before start(). */
-    void serve(const std::string &path, Answer answer) override;
+    void serve(const std::string &path, Handler answer) override;
 
     /** Rejects calls that are addressed to a node other than @p self from now on. */
     void identifyAs(NodeId self) { self_ = self; }
@@ -37,7 +37,7 @@
     PeerCaller caller_;
     NodeId self_; ///< InvalidNode: all calls are accepted.
     std::shared_ptr<PeerListener> listener_;
-    std::map<std::string, Answer, std::less<>> answers_;
+    std::map<std::string, Handler, std::less<>> answers_;
 };
 
 } // namespace wisteriahoist
--- a/src/duty/request_router.cpp
+++ b/src/duty/request_router.cpp
@@ -415,7 +415,7 @@
         reply.set_reached_backend(!neverSent);
     } else if (!reply.ParseFromString(bytes.assume_value())
                || reply.outcome() == v1::HOP_OUTCOME_UNSPECIFIED) {
-        reply = makeOutcomeReply(RequestStage::Sent, RequestEnd::BadAnswer);
+        reply = makeOutcomeReply(RequestStage::Sent, RequestEnd::InvalidResponse);
         reply.set_reached_backend(true);
     }
     const TimePoint now = clock_.now();
@@ -473,7 +473,7 @@
     v1::HopReply reply;
     v1::HopRequest hop;
     if (!hop.ParseFromString(body)) {
-        reply = makeOutcomeReply(RequestStage::Received, RequestEnd::BadAnswer);
+        reply = makeOutcomeReply(RequestStage::Received, RequestEnd::InvalidResponse);
     } else if (hop.cancel()) {
         gate_.cancel(hop.origin_node(), hop.request_id());
     } else {
--- a/src/duty/slot_queue.cpp
+++ b/src/duty/slot_queue.cpp
@@ -47,7 +47,7 @@
     }
     queue_.remove(id);
     if (waiter->cancelled) {
-        co_return RequestEnd::CallerGone;
+        co_return RequestEnd::CallerDisconnected;
     }
     co_return deadline <= queueDeadline ? RequestEnd::DeadlineOver : RequestEnd::QueueTimeout;
 }
--- a/src/port/peer_calls.h
+++ b/src/port/peer_calls.h
@@ -17,13 +17,13 @@
 {
 public:
     /** Handles one incoming call: receives the request body and returns the reply body. */
-    using Answer = std::function<boost::asio::awaitable<std::string>(std::string)>;
+    using Handler = std::function<boost::asio::awaitable<std::string>(std::string)>;
 
     virtual ~PeerCalls() = default;
 
     /** Registers the handler for @p path.
      *  @param path Begins with a slash. @pre Called before the first call arrives. */
-    virtual void serve(const std::string &path, Answer answer) = 0;
+    virtual void serve(const std::string &path, Handler handler) = 0;
 
     /** @return The reply body; Unavailable if the peer has not processed the call, also if another
      *          node now uses its address. */
--- a/src/program/node_program.cpp
+++ b/src/program/node_program.cpp
@@ -93,7 +93,7 @@
     resource.node = settings.id;
     resource.failureDomain = settings.failureDomain;
     resource.build = WISTERIAHOIST_VERSION;
-    resource.bootAt = std::chrono::system_clock::now() - clock_.now().time_since_epoch();
+    resource.bootTime = std::chrono::system_clock::now() - clock_.now().time_since_epoch();
     trace_ = std::make_unique<TraceDuty>(
             traceThread_.context(), std::move(resource),
             makeSpanSink(settings.signals.trace, traceThread_.context().get_executor()),
--- a/test/support/raw_http_client.h
+++ b/test/support/raw_http_client.h
@@ -49,7 +49,7 @@
         ended_ |= error != asio::error::would_block;
     }
 
-    void leave() { socket_.close(); }
+    void disconnect() { socket_.close(); }
 
     /** @return Number of occurrences of @p text in the received bytes. */
     size_t count(std::string_view text) const
--- a/test/unit/http/http_client_test.cpp
+++ b/test/unit/http/http_client_test.cpp
@@ -1,4 +1,4 @@
-/** @file http_client_test.cpp Misplaced and unframed responses, Keep-Alive timeouts, refused
+/** @file http_client_test.cpp Misplaced and allowUnframed responses, Keep-Alive timeouts, refused
  * connections. */
 
 #include "adapter/http/http_client.h"
@@ -75,17 +75,17 @@
 
 Test(http_client, response_delimited_by_the_end_of_the_connection)
 {
-    const BackendScript unframed{"HTTP/1.1 200 OK\r\n\r\nwhole", {}, true, false, false};
+    const BackendScript allowUnframed{"HTTP/1.1 200 OK\r\n\r\nwhole", {}, true, false, false};
     SECTION("is rejected by default")
     {
-        Fixture fixture({unframed});
+        Fixture fixture({allowUnframed});
         cr_assert(!fixture.get());
     }
     SECTION("is accepted if the pool limits allow it")
     {
         PoolLimits limits;
-        limits.unframed = true;
-        Fixture fixture({unframed}, limits);
+        limits.allowUnframed = true;
+        Fixture fixture({allowUnframed}, limits);
         const auto result = fixture.get();
         cr_assert(result.has_value() && result.assume_value().body() == "whole");
     }
--- a/test/unit/http/server_stop_test.cpp
+++ b/test/unit/http/server_stop_test.cpp
@@ -157,7 +157,7 @@
     steppedServer.server().closeIdle();
     caller.send(arrival.rest);
     outcome.ended = steppedServer.runUntil(caller, [&]() { return caller.hasEnded(); });
-    caller.leave();
+    caller.disconnect();
     steppedServer.runUntil(caller, [&]() { return steppedServer.server().openConnections() == 0; });
     outcome.dispatched = steppedServer.dispatched() - before;
     outcome.answered = caller.count(ResponseEnd) - before;
--- a/test/unit/program/sidecar_stop_test.cpp
+++ b/test/unit/program/sidecar_stop_test.cpp
@@ -132,7 +132,7 @@
     SECTION("the process waits until the caller has read it and disconnected")
     {
         cr_assert(!node.program.hasStopped(late));
-        caller.leave();
+        caller.disconnect();
         TimePoint at = late;
         cr_assert(node.runUntil(caller, [&]() {
             node.program.continueStop(at);
--- a/test/unit/signals/span_export_test.cpp
+++ b/test/unit/signals/span_export_test.cpp
@@ -27,7 +27,7 @@
 Test(signals, otlpBodyMatchesTheSchema)
 {
     SpanResource resource{NodeId(7), "domain-1", "0.1.0", {}};
-    resource.bootAt = std::chrono::system_clock::time_point(std::chrono::seconds(1700000000));
+    resource.bootTime = std::chrono::system_clock::time_point(std::chrono::seconds(1700000000));
     const auto body = boost::json::parse(encodeOtlp(resource, {makeSpan()}));
     const auto &resourceSpans = body.at("resourceSpans").at(0);
     SECTION("the resource identifies the node")
