--- a/test/unit/range/ownership_node.cpp
+++ b/test/unit/range/ownership_node.cpp
@@ -142,7 +142,7 @@
 public:
     explicit Peers(SimulatedNode &node) : node_(node) { }
 
-    void serve(const std::string &path, Answer answer) override
+    void serve(const std::string &path, Handler answer) override
     {
         handlers_[path] = std::move(answer);
     }
@@ -157,7 +157,7 @@
         co_return co_await outcome->wait();
     }
 
-    Answer *find(const std::string &path)
+    Handler *find(const std::string &path)
     {
         const auto found = handlers_.find(path);
         return found == handlers_.end() ? nullptr : &found->second;
@@ -165,7 +165,7 @@
 
 private:
     SimulatedNode &node_;
-    std::map<std::string, Answer> handlers_;
+    std::map<std::string, Handler> handlers_;
 };
 
 SimulatedNode::SimulatedNode(OwnershipWorld &world, size_t index, double clockRate)
@@ -254,7 +254,7 @@
                                const PeerAnswer &answer)
 {
     post([this, path, body, answer]() {
-        if (PeerCalls::Answer *served = peers_->find(path)) {
+        if (PeerCalls::Handler *served = peers_->find(path)) {
             asio::co_spawn(context_, (*served)(body),
                            [answer](const std::exception_ptr &failure, std::string reply) {
                                if (!failure) {
